--- a/include/jaytrack/Proxy/exchange.h
+++ b/include/jaytrack/Proxy/exchange.h
@@ -174,7 +174,7 @@
 
     // The request as it goes to a target. Orders about deadline, identity and customer are filled
     // in.
-    TargetRequest makeRequest(const TargetEntry &target, ForwardOrders orders,
+    TargetRequest makeRequest(const TargetEntry &target, ForwardOptions orders,
                               const asio::ip::tcp::endpoint &endpoint) const;
 
     // Final answers of the instance's own. A code whose outcome is "not run" carries the delay
--- a/include/jaytrack/Routing/coldtargets.h
+++ b/include/jaytrack/Routing/coldtargets.h
@@ -57,7 +57,7 @@
 
     // The target is cold for so long from now on. What was told before holds on if it is longer,
     // since entries, notices and answers overtake each other. Returns whether it is news.
-    bool heard(std::string_view target, Duration left);
+    bool recordCold(std::string_view target, Duration left);
 
     // How long the target stays cold; zero if it is warm.
     Duration coldFor(std::string_view target) const;
@@ -69,7 +69,7 @@
     Duration wait(std::string_view target, double ownRate) const;
 
     // A request of this instance goes to the target.
-    void sent(std::string_view target);
+    void recordSend(std::string_view target);
 
     // Requests that this instance may send the target within one window.
     std::size_t allowance(std::string_view target, double ownRate) const;
--- a/include/jaytrack/Routing/dialect.h
+++ b/include/jaytrack/Routing/dialect.h
@@ -45,7 +45,7 @@
 };
 
 // What the instance adds to a request that it passes on.
-struct ForwardOrders
+struct ForwardOptions
 {
     std::chrono::milliseconds timeLeft{0};
     std::string_view targetName; // the target refuses the request if it is another one
@@ -63,11 +63,11 @@
     bool misdirected = false; // the address belongs to another target by now
     bool leaving = false;     // the target that answers leaves
     // The target turned the request away and wants none from this instance for so long.
-    std::optional<std::chrono::milliseconds> leaveAloneFor;
+    std::optional<std::chrono::milliseconds> backOffFor;
     std::optional<std::chrono::milliseconds> coldFor; // the target is cold for so long
     // Requests a second that the target takes from all instances together.
     std::optional<double> limitPerSecond;
-    bool namesNoLimit = false; // neither a limit nor anything that may be meant for one
+    bool reportsNoLimit = false; // neither a limit nor anything that may be meant for one
 };
 
 // A page of the store.
@@ -88,7 +88,7 @@
     std::uint32_t memoryInUse = 0; // tokens that cannot be evicted
     std::uint32_t memoryTokens = 0;
     bool leaving = false;
-    StartTime startedAt = untoldStart; // of the life that reports
+    StartTime startedAt = unknownStart; // of the life that reports
 };
 
 // The outcome of asking an engine to copy a run.
@@ -114,10 +114,10 @@
 
     // The headers of the request as the target shall see them, in order.
     virtual std::vector<HttpHeader> forwardHeaders(std::span<const HttpHeader> headers,
-                                                   const ForwardOrders &orders) const = 0;
+                                                   const ForwardOptions &orders) const = 0;
 
     // The header by which a caller is told when to come back.
-    virtual HttpHeader comeBackIn(std::chrono::milliseconds delay) const = 0;
+    virtual HttpHeader retryAfterHeader(std::chrono::milliseconds delay) const = 0;
 
     virtual std::string rangeTarget(std::string_view prefix, std::string_view after) const = 0;
     virtual std::string watchTarget(std::string_view prefix, std::uint64_t after,
--- a/include/jaytrack/Routing/enginechoice.h
+++ b/include/jaytrack/Routing/enginechoice.h
@@ -24,8 +24,8 @@
 struct GenerationNeed
 {
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0;       // expected
-    Duration mostDelay = Duration::max(); // until its prompt is read, or its first token is late
+    std::uint32_t outputTokens = 0;      // expected
+    Duration maxDelay = Duration::max(); // until its prompt is read, or its first token is late
 };
 
 struct EngineChoiceOptions
@@ -49,15 +49,15 @@
     std::uint32_t shortTokens = 64;
 
     // What a second until the first token weighs against a whole memory.
-    double weightOfDelay = 1.0;
+    double delayWeight = 1.0;
 
     // The same for a run that seeks refuge. What its copy lacks is read behind the prompts that
     // wait there, and a pause of a fifth of a second makes the whole stream late, where a first
     // token has more than a second.
-    double refugeWeightOfDelay = 3.0;
+    double evacuationDelayWeight = 3.0;
 
     // Whether short urgent generations leave room to the runs of leaving engines too.
-    bool urgentLeavesRefuge = false;
+    bool urgentKeepsEvacuationReserve = false;
 
     // Prompt tokens that an engine reads in a millisecond between the tokens of its other requests,
     // until it is learnt: half of the 14 that the sheets give for an engine that does nothing else.
@@ -66,15 +66,15 @@
     // Costs are blurred by up to this much, in parts of the memory, where a run seeks refuge: all
     // instances learn of a leaving in the same millisecond, know the same, and would all choose the
     // same engine before their notices reach each other.
-    double refugeBlur = 0.1;
+    double evacuationCostJitter = 0.1;
 
     // Handicap, in parts of the memory, for a new run at an engine in another data centre: bytes
     // between them are priced.
-    double distantHandicap = 0.05;
+    double remotePenalty = 0.05;
 
     // The same for a copy whose engine is leaving: between data centres it takes twice as long (0.4
     // s for a mean run), and all copies that leave one engine wait for each other on its link.
-    double distantCopyHandicap = 0.4;
+    double remoteCopyPenalty = 0.4;
 
     // Tokens that each run adds to an engine's memory in a second, between two reports: a token a
     // step, and steps of 11 ms in a batch of six that shares the engine with prompts.
@@ -83,10 +83,10 @@
     // Runs of a leaving engine seek room at the others for about this long. Until then new
     // generations leave that room to them: whoever is refused at the door can come back, a run that
     // finds no room is lost with all that was made.
-    Duration refugeTime = std::chrono::milliseconds(1500);
+    Duration evacuationTime = std::chrono::milliseconds(1500);
 
     // The most, in parts of an engine's memory, that new generations leave to such runs.
-    double mostRefugeShare = 0.15;
+    double maxEvacuationReserve = 0.15;
 
     // What others say of an engine that is not listed is kept for this long. Listings reach the
     // instances within a second of each other.
@@ -109,39 +109,39 @@
     EngineChoice(const Clock &time, std::uint64_t seed, std::string homeDataCentre,
                  EngineChoiceOptions given = {});
 
-    void listed(const TargetEntry &entry);
-    void gone(std::string_view id);
+    void onListed(const TargetEntry &entry);
+    void onRemoved(std::string_view id);
 
     // The engine's life ended with all that ran there, so no run seeks room elsewhere.
     void forget(std::string_view id);
 
-    void reported(std::string_view id, const EngineLoad &load);
+    void recordReport(std::string_view id, const EngineLoad &load);
 
     // An engine failed a generation or a question of this instance, or of another one: not reached,
     // reset, broken off or refused. One that says that it is well and fails all that comes looks
     // empty, and would be given everything.
-    void failed(std::string_view id);
-    void failedForOther(std::string_view id, std::string_view instance);
+    void recordFailure(std::string_view id);
+    void recordRemoteFailure(std::string_view id, std::string_view instance);
 
     // A generation of this instance got its first event there.
-    void answered(std::string_view id);
+    void recordSuccess(std::string_view id);
 
     // A prompt of this instance goes to an engine, which has to read it.
-    void began(std::string_view id, std::string_view run, const GenerationNeed &need);
+    void recordStart(std::string_view id, std::string_view run, const GenerationNeed &need);
 
     // The run's first token came, so its prompt has been read.
     void firstToken(std::string_view id, std::string_view run);
 
     // A copy of a run of this instance goes to an engine; nothing of it need be read.
-    void copied(std::string_view id, const GenerationNeed &need);
+    void recordCopy(std::string_view id, const GenerationNeed &need);
 
     // A run or a copy of this instance is gone from an engine and held that many tokens there.
-    void released(std::string_view id, std::string_view run, std::uint32_t tokens);
+    void recordRelease(std::string_view id, std::string_view run, std::uint32_t tokens);
 
     // The same of another instance. Its notice may come before the engine's listing does, so what
     // it says of an unknown engine is kept for a while.
-    void placedByOthers(std::string_view id, const GenerationNeed &need, bool copied);
-    void releasedByOthers(std::string_view id, std::uint32_t tokens);
+    void recordRemotePlacement(std::string_view id, const GenerationNeed &need, bool copied);
+    void recordRemoteRelease(std::string_view id, std::uint32_t tokens);
 
     // The engine for a generation among those given; null if none that was compared has room for
     // it. avoid names engines that have been tried.
@@ -159,9 +159,11 @@
 
     // The engine to which a run moves whose own is leaving; null if there is none but those to
     // avoid.
-    const TargetEntry *chooseRefuge(std::span<const TargetEntry *const> engines,
-                                    const EngineTraits &traits, const GenerationNeed &need,
-                                    const TargetEntry &running, const std::set<std::string> &avoid);
+    const TargetEntry *chooseEvacuationTarget(std::span<const TargetEntry *const> engines,
+                                              const EngineTraits &traits,
+                                              const GenerationNeed &need,
+                                              const TargetEntry &running,
+                                              const std::set<std::string> &avoid);
 
     // Tokens of memory that the engine is expected to hold, with the age of the report behind it.
     struct Forecast
@@ -228,13 +230,13 @@
     struct Preference
     {
         std::string_view dataCentre; // where the request or the run comes from
-        double distantHandicap = 0;
+        double remotePenalty = 0;
         std::size_t candidates = 0;
         double mostMemory =
                 0; // an engine whose memory would be taken beyond this part is not taken
-        Duration mostDelay = Duration::max(); // nor one that would have read the prompt later
+        Duration maxDelay = Duration::max(); // nor one that would have read the prompt later
         double blur = 0;
-        double weightOfDelay = 1;
+        double delayWeight = 1;
     };
 
     const TargetEntry *cheapest(std::vector<const TargetEntry *> open, const EngineTraits &traits,
--- a/include/jaytrack/Routing/engineshares.h
+++ b/include/jaytrack/Routing/engineshares.h
@@ -35,22 +35,22 @@
     // The names of the other instances that are up.
     void setInstances(std::span<const std::string> names);
 
-    void listed(std::string_view engine);
-    void gone(std::string_view engine);
+    void onListed(std::string_view engine);
+    void onRemoved(std::string_view engine);
 
     // Whether every instance gives work to every engine.
-    bool isWhole() const { return this->sharers >= this->ranking.count(); }
+    bool usesAllEngines() const { return this->sharers >= this->ranking.count(); }
 
     // Whether this instance gives work to the engine.
-    bool isMine(std::string_view engine) const;
+    bool isAssigned(std::string_view engine) const;
 
     // Whether it falls to this instance to ask the engine for its load. Asking has a price at the
     // engine, so one instance asks for all: the one whose hash with the engine is highest. When one
     // goes, only its engines get another.
-    bool isMineToAsk(std::string_view engine) const;
+    bool shouldPollLoad(std::string_view engine) const;
 
     // The names of the other instances that give work to the engine.
-    std::vector<std::string> othersOf(std::string_view engine) const;
+    std::vector<std::string> otherAssignees(std::string_view engine) const;
 
 private:
     void countSharers();
--- a/include/jaytrack/Routing/instanceranking.h
+++ b/include/jaytrack/Routing/instanceranking.h
@@ -27,7 +27,7 @@
     const std::string &ownName() const { return this->instances.front().name; }
 
     // This instance's place among all for the key; the first one is 0.
-    std::size_t ownPlace(std::string_view key) const;
+    std::size_t ownRank(std::string_view key) const;
 
     // The names of the first instances for the key, at most so many.
     std::vector<std::string> first(std::string_view key, std::size_t most) const;
--- a/include/jaytrack/Routing/knownfleet.h
+++ b/include/jaytrack/Routing/knownfleet.h
@@ -60,7 +60,7 @@
     bool isUp(std::string_view name) const;
 
     // When an instance that is gone now will count as gone.
-    TimePoint missedFrom(const Instance &gone) const
+    TimePoint absenceDeadline(const Instance &gone) const
     {
         return gone.goneSince.value_or(TimePoint::max() - this->options.absence) +
                this->options.absence;
--- a/include/jaytrack/Routing/runplan.h
+++ b/include/jaytrack/Routing/runplan.h
@@ -62,10 +62,10 @@
     // The run takes place at an engine.
     void placed(std::string_view engine);
 
-    void eventMade() { this->anyEvent = true; }
+    void eventProduced() { this->anyEvent = true; }
 
     // An ordered copy is under way, was made, or failed.
-    void copyBegan();
+    void copyStarted();
     void copyMade(std::string_view at, ResumePoint point);
     void copyFailed(std::string_view at);
 
@@ -74,7 +74,7 @@
 
     // An engine is leaving; said again for the same engine it changes nothing.
     void engineLeaving(std::string_view id);
-    void runningLost();
+    void engineLost();
 
     // What to do now. Called after each of the above and from time to time.
     RunStep next() const;
@@ -83,7 +83,7 @@
     std::string_view copyHolder() const;
 
     // Engines that proved unable to take the run.
-    const std::set<std::string> &unfit() const { return this->refused; }
+    const std::set<std::string> &unsuitableEngines() const { return this->refused; }
 
     bool isLeaving() const { return this->leaving; }
 
--- a/include/jaytrack/Routing/targetdirectory.h
+++ b/include/jaytrack/Routing/targetdirectory.h
@@ -23,15 +23,15 @@
 using StartTime = std::chrono::milliseconds;
 
 // The value of a target that does not tell when it started.
-constexpr StartTime untoldStart{0};
+constexpr StartTime unknownStart{0};
 
 // One life of a target as the platform lists it.
 struct TargetEntry
 {
-    // Names this life: what is believed of a target ends with it. Made by lifeId().
+    // Names this life: what is believed of a target ends with it. Made by incarnationId().
     std::string id;
     std::string name; // under which the platform lists it; a target may start again under it
-    StartTime startedAt = untoldStart;
+    StartTime startedAt = unknownStart;
     std::string service;
     std::string address; // IP:PORT
     std::string dataCentre;
@@ -42,7 +42,7 @@
 
 // The identity of one life of a target. Where targets do not tell their start, each has a new name
 // at each start and the name alone is the identity.
-std::string lifeId(std::string_view name, StartTime startedAt);
+std::string incarnationId(std::string_view name, StartTime startedAt);
 
 // One item of the platform's store that changed or was read.
 struct StoreItem
@@ -109,14 +109,14 @@
 
     // Takes a target's own word of when it started. If this life is over, it is ended here; the new
     // one gets work once the platform lists it.
-    void hearStart(std::string_view id, StartTime startedAt);
+    void updateStartTime(std::string_view id, StartTime startedAt);
 
     // Ends the grace after an outage: what has not come back is gone, and a data centre that was
     // not put out of use again is back.
     void dropMissing();
 
     // Takes one change of what the operators say of a data centre, or all that they say now.
-    void noteDataCentre(const DataCentreRecord &record);
+    void updateDataCentre(const DataCentreRecord &record);
     void replaceDataCentres(std::span<const DataCentreRecord> records, bool keepMissing);
 
     // The store came back from an older copy, whose revisions are given out again.
@@ -126,7 +126,7 @@
     std::vector<const TargetEntry *> usable(std::string_view service) const;
 
     // The targets of a data centre that were not said to leave.
-    std::vector<TargetEntry> staying(std::string_view dataCentre) const;
+    std::vector<TargetEntry> nonLeavingTargets(std::string_view dataCentre) const;
 
     bool isOutOfUse(std::string_view dataCentre) const
     {
@@ -134,7 +134,7 @@
     }
 
     // Whether the service has targets that would get work if their data centres were in use.
-    bool waitsForDataCentre(std::string_view service) const;
+    bool hasTargetsOutOfUse(std::string_view service) const;
 
     // The life with this id, if it is still listed.
     const TargetEntry *find(std::string_view id) const;
--- a/lib/Limits/targetlimits.cpp
+++ b/lib/Limits/targetlimits.cpp
@@ -80,7 +80,7 @@
     for (const auto &[name, instance] : this->fleet.instances()) {
         const TimePoint since = instance.upSince;
         const TimePoint from = since <= alike ? since : since + this->options.settleTime;
-        const TimePoint until = this->fleet.missedFrom(instance);
+        const TimePoint until = this->fleet.absenceDeadline(instance);
         if (from <= now && now < until)
             names.push_back(name);
         if (now < until)
@@ -112,7 +112,7 @@
 {
     if (this->clock.now() >= this->rankedAgainAt)
         this->rankSettled();
-    return this->ranking.ownPlace(target);
+    return this->ranking.ownRank(target);
 }
 
 // The part of a target's limit that falls to those of the fleet that are up. The larger side of a
--- a/lib/Proxy/engineroom.cpp
+++ b/lib/Proxy/engineroom.cpp
@@ -10,14 +10,14 @@
 void EngineRoom::takeForPrompt(std::string_view engine, const GenerationNeed &need)
 {
     this->take(engine, need.promptTokens);
-    this->context.engines.began(engine, this->run, need);
+    this->context.engines.recordStart(engine, this->run, need);
     this->context.notices.announcePlaced(engine, need, false);
 }
 
 void EngineRoom::takeForCopy(std::string_view engine, const GenerationNeed &need)
 {
     this->take(engine, need.promptTokens);
-    this->context.engines.copied(engine, need);
+    this->context.engines.recordCopy(engine, need);
     this->context.notices.announcePlaced(engine, need, true);
 }
 
@@ -28,7 +28,7 @@
         return;
     const std::uint32_t tokens = found->second + grown;
     this->taken.erase(found);
-    this->context.engines.released(engine, this->run, tokens);
+    this->context.engines.recordRelease(engine, this->run, tokens);
     this->context.notices.announceReleased(engine, tokens);
 }
 
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrybeliefs.cpp
@@ -22,10 +22,10 @@
                   {"service", entry.service},
                   {"address", entry.address},
                   {"data_centre", entry.dataCentre}});
-    this->engines.listed(entry);
+    this->engines.onListed(entry);
     if (!this->isEngine(entry))
         return;
-    this->shares.listed(entry.id);
+    this->shares.onListed(entry.id);
     if (!this->directory.isOutOfUse(entry.dataCentre))
         this->prober.add(entry);
 }
@@ -54,7 +54,7 @@
 
 void EntryInstance::Parts::noteCold(std::string_view target, Duration left, std::string_view source)
 {
-    if (!this->cold.heard(target, left))
+    if (!this->cold.recordCold(target, left))
         return;
     logEvent(Severity::Info, "target_cold",
              {{"target", target}, {"for_ms", toMillis(left)}, {"source", source}});
@@ -84,7 +84,7 @@
 // grown ever since.
 void EntryInstance::Parts::onDataCentreUse(std::string_view dataCentre, bool outOfUse)
 {
-    const std::vector<TargetEntry> concerned = this->directory.staying(dataCentre);
+    const std::vector<TargetEntry> concerned = this->directory.nonLeavingTargets(dataCentre);
     logEvent(Severity::Warning, outOfUse ? "data_centre_out_of_use" : "data_centre_back",
              {{"data_centre", dataCentre},
               {"targets", static_cast<std::int64_t>(concerned.size())},
@@ -102,7 +102,7 @@
             continue;
         }
         this->engines.forget(target.id);
-        this->engines.listed(target);
+        this->engines.onListed(target);
         this->prober.add(target);
     }
     if (!outOfUse)
@@ -116,8 +116,8 @@
 {
     logEvent(Severity::Info, "target_leaving",
              {{"target", entry.id}, {"service", entry.service}, {"reason", reason}});
-    this->engines.gone(entry.id);
-    this->shares.gone(entry.id);
+    this->engines.onRemoved(entry.id);
+    this->shares.onRemoved(entry.id);
     this->health.forget(entry.id);
     this->prober.remove(entry.id);
     const std::vector<std::shared_ptr<Exchange>> served(this->open.begin(), this->open.end());
@@ -134,7 +134,7 @@
               {"leaving", ended.leaving ? 1 : 0}});
     this->metrics.count("jaytrack_targets_restarted_total");
     this->engines.forget(ended.id);
-    this->shares.gone(ended.id);
+    this->shares.onRemoved(ended.id);
     this->health.forget(ended.id);
     this->limitGate.forget(ended.id);
     this->prober.remove(ended.id);
@@ -146,22 +146,22 @@
 void EntryInstance::Parts::onPlacedByPeer(std::string_view engine, const GenerationNeed &need,
                                           bool copied)
 {
-    this->engines.placedByOthers(engine, need, copied);
+    this->engines.recordRemotePlacement(engine, need, copied);
 }
 
 void EntryInstance::Parts::onReleasedByPeer(std::string_view engine, std::uint32_t tokens)
 {
-    this->engines.releasedByOthers(engine, tokens);
+    this->engines.recordRemoteRelease(engine, tokens);
 }
 
 void EntryInstance::Parts::onFailedForPeer(std::string_view engine, std::string_view peer)
 {
-    this->engines.failedForOther(engine, peer);
+    this->engines.recordRemoteFailure(engine, peer);
 }
 
 void EntryInstance::Parts::onLoadFromPeer(std::string_view engine, const EngineLoad &load)
 {
-    this->engines.reported(engine, load);
+    this->engines.recordReport(engine, load);
     if (load.leaving)
         this->directory.markLeaving(engine, "reported_to_peer");
 }
@@ -265,27 +265,27 @@
 
 bool EntryInstance::Parts::isMineToAsk(std::string_view engine) const
 {
-    return this->shares.isMineToAsk(engine);
+    return this->shares.shouldPollLoad(engine);
 }
 
 void EntryInstance::Parts::onNoLoad(std::string_view engine)
 {
-    this->engines.failed(engine);
+    this->engines.recordFailure(engine);
     this->announceFailed(engine);
 }
 
 void EntryInstance::Parts::onLoad(std::string_view engine, const EngineLoad &load)
 {
-    if (load.startedAt != untoldStart)
-        this->directory.hearStart(engine, load.startedAt);
+    if (load.startedAt != unknownStart)
+        this->directory.updateStartTime(engine, load.startedAt);
     // A report of another life says nothing of the one that was asked.
     const TargetEntry *listed = this->directory.find(engine);
     const bool other = listed == nullptr ||
-                       (load.startedAt != untoldStart && listed->startedAt != untoldStart &&
+                       (load.startedAt != unknownStart && listed->startedAt != unknownStart &&
                         load.startedAt != listed->startedAt);
     if (other)
         return;
-    this->engines.reported(engine, load);
+    this->engines.recordReport(engine, load);
     if (this->peers)
         this->peers->announce(engine, load);
     if (load.leaving)
--- a/lib/Proxy/entryparts.h
+++ b/lib/Proxy/entryparts.h
@@ -139,7 +139,7 @@
 
     bool isMineToAsk(std::string_view engine) const override;
 
-    bool isMine(std::string_view engine) const override { return this->shares.isMine(engine); }
+    bool isMine(std::string_view engine) const override { return this->shares.isAssigned(engine); }
 
     void onNoLoad(std::string_view engine) override;
     void onLoad(std::string_view engine, const EngineLoad &load) override;
--- a/lib/Proxy/entryrequests.cpp
+++ b/lib/Proxy/entryrequests.cpp
@@ -110,7 +110,7 @@
     std::vector<HttpHeader> headers;
     headers.push_back({"Jaytrack-Outcome", std::string(outcomeName(info.outcome))});
     if (info.httpStatus == unavailableStatus) {
-        headers.push_back(this->dialect.comeBackIn(this->delayToReturn(admitted)));
+        headers.push_back(this->dialect.retryAfterHeader(this->delayToReturn(admitted)));
     }
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(inputs.age);
     logEvent(Severity::Info, "request_refused",
--- a/lib/Proxy/entrytuning.cpp
+++ b/lib/Proxy/entrytuning.cpp
@@ -31,15 +31,16 @@
     readCount(table, "candidates", options.candidates);
     readPart(table, "new_run_share", options.newRunShare);
     readPart(table, "urgent_share", options.urgentShare);
-    options.weightOfDelay = table.number("weight_of_delay", 0, mostWeight, options.weightOfDelay);
-    options.refugeWeightOfDelay =
-            table.number("refuge_weight_of_delay", 0, mostWeight, options.refugeWeightOfDelay);
-    options.urgentLeavesRefuge = table.flag("urgent_leaves_refuge", options.urgentLeavesRefuge);
-    readPart(table, "refuge_blur", options.refugeBlur);
-    readPart(table, "distant_handicap", options.distantHandicap);
-    readPart(table, "distant_copy_handicap", options.distantCopyHandicap);
-    readPart(table, "most_refuge_share", options.mostRefugeShare);
-    readPause(table, "refuge_time_ms", options.refugeTime);
+    options.delayWeight = table.number("weight_of_delay", 0, mostWeight, options.delayWeight);
+    options.evacuationDelayWeight =
+            table.number("refuge_weight_of_delay", 0, mostWeight, options.evacuationDelayWeight);
+    options.urgentKeepsEvacuationReserve =
+            table.flag("urgent_leaves_refuge", options.urgentKeepsEvacuationReserve);
+    readPart(table, "refuge_blur", options.evacuationCostJitter);
+    readPart(table, "distant_handicap", options.remotePenalty);
+    readPart(table, "distant_copy_handicap", options.remoteCopyPenalty);
+    readPart(table, "most_refuge_share", options.maxEvacuationReserve);
+    readPause(table, "refuge_time_ms", options.evacuationTime);
     readCount(table, "failures_to_avoid", options.failuresToAvoid);
     readPause(table, "avoid_ms", options.avoidFor);
 }
--- a/lib/Proxy/exchange.cpp
+++ b/lib/Proxy/exchange.cpp
@@ -187,7 +187,7 @@
 
 std::string_view Exchange::lackOfTargets() const
 {
-    return this->context.directory.waitsForDataCentre(this->serviceName) ? "data_centre_out_of_use"
+    return this->context.directory.hasTargetsOutOfUse(this->serviceName) ? "data_centre_out_of_use"
                                                                          : "no_usable_target";
 }
 
@@ -245,7 +245,7 @@
     return this->knownDigest;
 }
 
-TargetRequest Exchange::makeRequest(const TargetEntry &target, ForwardOrders orders,
+TargetRequest Exchange::makeRequest(const TargetEntry &target, ForwardOptions orders,
                                     const asio::ip::tcp::endpoint &endpoint) const
 {
     const MessageHead &head = this->request().head;
@@ -312,7 +312,7 @@
     std::vector<HttpHeader> headers;
     headers.push_back({"Jaytrack-Outcome", std::string(outcomeName(info.outcome))});
     if (info.outcome == Outcome::NotRun) {
-        headers.push_back(this->context.dialect.comeBackIn(this->delayToReturn(code)));
+        headers.push_back(this->context.dialect.retryAfterHeader(this->delayToReturn(code)));
     }
     this->caller->respond(info.httpStatus, headers, {});
     this->finish(code, info.httpStatus, detail);
--- a/lib/Proxy/peerlink.cpp
+++ b/lib/Proxy/peerlink.cpp
@@ -386,7 +386,7 @@
         notice.engine = engine;
         notice.tokens = tokens;
         message.releases.push_back(std::move(notice));
-        if (this->shares.isWhole())
+        if (this->shares.usesAllEngines())
             continue;
         this->tellSharers(engine, message);
         message.releases.clear();
@@ -456,9 +456,9 @@
 
 void PeerLink::tellSharers(std::string_view engine, wire::EntryNotices &message)
 {
-    if (this->shares.isWhole())
+    if (this->shares.usesAllEngines())
         return this->tellPeers(message);
-    this->membership.sendPolicy(this->shares.othersOf(engine), encodeMessage(message));
+    this->membership.sendPolicy(this->shares.otherAssignees(engine), encodeMessage(message));
 }
 
 void PeerLink::passOn(std::string_view from, wire::EntryNotices &message)
--- a/lib/Proxy/plainexchange.cpp
+++ b/lib/Proxy/plainexchange.cpp
@@ -83,7 +83,7 @@
         this->failedAnswer = false;
         this->sentAt = this->context.clock.now();
         this->context.health.began(entry.id, entry.service);
-        this->context.cold.sent(entry.id);
+        this->context.cold.recordSend(entry.id);
         this->logDecision("request_sent",
                           {{"target", entry.id},
                            {"address", entry.address},
--- a/lib/Proxy/selfreports.cpp
+++ b/lib/Proxy/selfreports.cpp
@@ -23,19 +23,19 @@
     const AnswerFacts said = this->dialect.describeAnswer(answer.status, answer.headers);
     this->hearFacts(target, said);
     const bool served = answer.status >= firstGoodStatus && answer.status < afterGoodStatus;
-    if (served && said.namesNoLimit)
+    if (served && said.reportsNoLimit)
         this->limits.namedNone(target, sentAgo);
 }
 
 void SelfReports::hearFacts(std::string_view target, const AnswerFacts &said)
 {
-    if (said.leaveAloneFor) {
-        this->pauses.leaveAlone(target, *said.leaveAloneFor);
+    if (said.backOffFor) {
+        this->pauses.leaveAlone(target, *said.backOffFor);
         logEvent(Severity::Info, "target_wants_rest",
                  {{"target", target},
-                  {"for_ms", static_cast<std::int64_t>(said.leaveAloneFor->count())}});
+                  {"for_ms", static_cast<std::int64_t>(said.backOffFor->count())}});
     }
-    if (said.coldFor && this->cold.heard(target, *said.coldFor)) {
+    if (said.coldFor && this->cold.recordCold(target, *said.coldFor)) {
         logEvent(Severity::Info, "target_cold",
                  {{"target", target},
                   {"for_ms", static_cast<std::int64_t>(said.coldFor->count())},
--- a/lib/Proxy/storefeeds.cpp
+++ b/lib/Proxy/storefeeds.cpp
@@ -188,7 +188,7 @@
 {
     for (const StoreItem &item : items) {
         if (const auto record = this->useOf(item))
-            this->directory.noteDataCentre(*record);
+            this->directory.updateDataCentre(*record);
         if (!this->isTarget(item))
             continue;
         if (item.deleted) {
--- a/lib/Proxy/streamexchange.cpp
+++ b/lib/Proxy/streamexchange.cpp
@@ -133,7 +133,7 @@
     const auto endpoint = parseEndpoint(target.address);
     if (!endpoint)
         return nullptr;
-    ForwardOrders orders;
+    ForwardOptions orders;
     orders.resume = std::move(resume);
     if (this->lastEvent > 0 || orders.resume)
         orders.lastEventId = this->lastEvent;
@@ -158,7 +158,7 @@
     if (!orders.resume)
         this->room.takeForPrompt(target.id, this->need);
     leg->openedAt = this->context.clock.now();
-    this->context.cold.sent(target.id);
+    this->context.cold.recordSend(target.id);
     leg->call = TargetCall::start(this->context.loop,
                                   this->makeRequest(target, orders, endpoint.value()), leg);
     return leg;
@@ -170,9 +170,10 @@
 StreamExchange::ownShare(std::vector<const TargetEntry *> engines) const
 {
     std::vector<const TargetEntry *> own;
-    std::copy_if(
-            engines.begin(), engines.end(), std::back_inserter(own),
-            [this](const TargetEntry *engine) { return this->context.shares.isMine(engine->id); });
+    std::copy_if(engines.begin(), engines.end(), std::back_inserter(own),
+                 [this](const TargetEntry *engine) {
+                     return this->context.shares.isAssigned(engine->id);
+                 });
     return own.empty() ? engines : own;
 }
 
@@ -182,7 +183,7 @@
     const std::optional<Duration> rest = this->shortestRest();
     if (engines.empty() && rest)
         return *rest > this->patience() ? this->refuseUntilRested() : this->waitForRoom();
-    this->need.mostDelay = this->usableDelay();
+    this->need.maxDelay = this->usableDelay();
     const TargetEntry *chosen =
             this->context.engines.choose(engines, this->traits, this->need, this->tried);
     this->shortage = this->context.engines.lastShortage();
@@ -330,10 +331,10 @@
     this->caller->write(event.text);
     this->noteProgress(leg);
     this->context.engines.firstToken(leg.target.id, this->facts().attemptId);
-    this->context.engines.answered(leg.target.id);
+    this->context.engines.recordSuccess(leg.target.id);
     if (this->caller->pendingBytes() > mostPendingBytes)
         leg.call->setPaused(true);
-    this->plan.eventMade();
+    this->plan.eventProduced();
     if (this->plan.isLeaving())
         this->act();
 }
@@ -370,7 +371,7 @@
     const TargetEntry *listed = this->context.directory.find(leg.target.id);
     if ((end.whole && !refused) || listed == nullptr || listed->leaving)
         return;
-    this->context.engines.failed(leg.target.id);
+    this->context.engines.recordFailure(leg.target.id);
     this->context.notices.announceFailed(leg.target.id);
 }
 
--- a/lib/Proxy/streamhandover.cpp
+++ b/lib/Proxy/streamhandover.cpp
@@ -162,7 +162,7 @@
     this->uncertain = true;
     this->lostAt = this->context.clock.now();
     this->dropMove();
-    this->plan.runningLost();
+    this->plan.engineLost();
     this->lossReason = reason;
     this->act();
 }
@@ -264,8 +264,9 @@
     if (this->context.limits.rest(this->current->target.id) > Duration(0))
         return;
     const std::vector<const TargetEntry *> engines = this->refuges();
-    const TargetEntry *chosen = this->context.engines.chooseRefuge(
-            engines, this->traits, this->need, this->current->target, this->plan.unfit());
+    const TargetEntry *chosen = this->context.engines.chooseEvacuationTarget(
+            engines, this->traits, this->need, this->current->target,
+            this->plan.unsuitableEngines());
     if (chosen != nullptr)
         this->askForCopy(this->current->target, *chosen);
 }
@@ -304,7 +305,7 @@
 {
     const auto endpoint = parseEndpoint(this->current->target.address);
     assert(endpoint && "the run's own connection was opened at this address");
-    this->plan.copyBegan();
+    this->plan.copyStarted();
     this->permittedAt = destination.id;
     // The copy is as large as the run has grown by now.
     GenerationNeed copied = this->need;
--- a/lib/Routing/coldtargets.cpp
+++ b/lib/Routing/coldtargets.cpp
@@ -38,7 +38,7 @@
                   [oldest](const auto &entry) { return entry.second.coldUntil < oldest; });
 }
 
-bool ColdTargets::heard(std::string_view target, Duration left)
+bool ColdTargets::recordCold(std::string_view target, Duration left)
 {
     if (left <= Duration(0))
         return false;
@@ -70,7 +70,7 @@
     const double used = std::min(ownRate, most * this->options.usedPart);
     const auto all = static_cast<std::size_t>(std::max(1.0, std::floor(used)));
     const std::size_t senders = std::min(all, this->ranking.count());
-    return this->ranking.ownPlace(target) < senders ? all / senders : 0;
+    return this->ranking.ownRank(target) < senders ? all / senders : 0;
 }
 
 Duration ColdTargets::wait(std::string_view target, double ownRate) const
@@ -93,7 +93,7 @@
     return std::min(cold, blocking - oldest);
 }
 
-void ColdTargets::sent(std::string_view target)
+void ColdTargets::recordSend(std::string_view target)
 {
     const auto found = this->accounts.find(target);
     if (found == this->accounts.end())
--- a/lib/Routing/enginechoice.cpp
+++ b/lib/Routing/enginechoice.cpp
@@ -31,7 +31,7 @@
 {
 }
 
-void EngineChoice::listed(const TargetEntry &entry)
+void EngineChoice::onListed(const TargetEntry &entry)
 {
     Board &board = this->boards[entry.id];
     board.leaving = entry.leaving;
@@ -39,7 +39,7 @@
     board.service = entry.service;
 }
 
-void EngineChoice::gone(std::string_view id)
+void EngineChoice::onRemoved(std::string_view id)
 {
     const auto found = this->boards.find(id);
     if (found == this->boards.end())
@@ -63,7 +63,7 @@
                                  const EngineTraits &traits)
 {
     const TimePoint now = this->clock.now();
-    const Duration time = this->options.refugeTime;
+    const Duration time = this->options.evacuationTime;
     std::erase_if(this->departures,
                   [now, time](const Departure &one) { return now - one.at >= time; });
     if (this->departures.empty() || engines.empty())
@@ -75,10 +75,10 @@
             tokens += one.tokens * (1 - passed);
     }
     const double room = static_cast<double>(engines.size()) * std::max(1U, traits.memoryTokens);
-    return std::min(this->options.mostRefugeShare, tokens / room);
+    return std::min(this->options.maxEvacuationReserve, tokens / room);
 }
 
-void EngineChoice::reported(std::string_view id, const EngineLoad &load)
+void EngineChoice::recordReport(std::string_view id, const EngineLoad &load)
 {
     const auto found = this->boards.find(id);
     if (found == this->boards.end())
@@ -116,21 +116,21 @@
     board.failedBy.clear();
 }
 
-void EngineChoice::failed(std::string_view id)
+void EngineChoice::recordFailure(std::string_view id)
 {
     const auto found = this->boards.find(id);
     if (found != this->boards.end())
         this->noteFailure(found->second, {});
 }
 
-void EngineChoice::failedForOther(std::string_view id, std::string_view instance)
+void EngineChoice::recordRemoteFailure(std::string_view id, std::string_view instance)
 {
     const auto found = this->boards.find(id);
     if (found != this->boards.end())
         this->noteFailure(found->second, instance);
 }
 
-void EngineChoice::answered(std::string_view id)
+void EngineChoice::recordSuccess(std::string_view id)
 {
     const auto found = this->boards.find(id);
     if (found == this->boards.end())
@@ -157,7 +157,8 @@
     board.changes.push_back({tokens, this->clock.now()});
 }
 
-void EngineChoice::began(std::string_view id, std::string_view run, const GenerationNeed &need)
+void EngineChoice::recordStart(std::string_view id, std::string_view run,
+                               const GenerationNeed &need)
 {
     Board &board = this->boards[std::string(id)];
     const TimePoint now = this->clock.now();
@@ -167,12 +168,12 @@
     this->addPrompt(board, need.promptTokens);
 }
 
-void EngineChoice::copied(std::string_view id, const GenerationNeed &need)
+void EngineChoice::recordCopy(std::string_view id, const GenerationNeed &need)
 {
     this->change(this->boards[std::string(id)], need.promptTokens);
 }
 
-void EngineChoice::released(std::string_view id, std::string_view run, std::uint32_t tokens)
+void EngineChoice::recordRelease(std::string_view id, std::string_view run, std::uint32_t tokens)
 {
     const auto board = this->boards.find(id);
     if (board == this->boards.end())
@@ -202,7 +203,8 @@
     return found->second;
 }
 
-void EngineChoice::placedByOthers(std::string_view id, const GenerationNeed &need, bool copied)
+void EngineChoice::recordRemotePlacement(std::string_view id, const GenerationNeed &need,
+                                         bool copied)
 {
     Board &board = this->noticedBoard(id);
     this->change(board, need.promptTokens);
@@ -210,7 +212,7 @@
         this->addPrompt(board, need.promptTokens);
 }
 
-void EngineChoice::releasedByOthers(std::string_view id, std::uint32_t tokens)
+void EngineChoice::recordRemoteRelease(std::string_view id, std::uint32_t tokens)
 {
     this->change(this->noticedBoard(id), -static_cast<double>(tokens));
 }
@@ -289,9 +291,9 @@
     const double memory =
             (this->memoryOf(board) + need.promptTokens + need.outputTokens / 2.0) / capacity;
     const double delay = std::chrono::duration<double>(this->delayOf(board)).count();
-    const double cost = memory + preference.weightOfDelay * delay;
+    const double cost = memory + preference.delayWeight * delay;
     const bool distant = entry.dataCentre != preference.dataCentre;
-    return distant ? cost + preference.distantHandicap : cost;
+    return distant ? cost + preference.remotePenalty : cost;
 }
 
 const TargetEntry *EngineChoice::cheapest(std::vector<const TargetEntry *> open,
@@ -313,8 +315,8 @@
         // A prompt that alone takes most of the time there is must find an engine that reads
         // nothing else, but it must not be shut out everywhere for its length.
         const Duration own =
-                std::min(this->readingTime(need.promptTokens), preference.mostDelay / 2);
-        if (this->delayOf(board) > preference.mostDelay - own) {
+                std::min(this->readingTime(need.promptTokens), preference.maxDelay / 2);
+        if (this->delayOf(board) > preference.maxDelay - own) {
             ++this->shortage.slow;
             continue;
         }
@@ -348,34 +350,30 @@
 {
     const bool isUrgent = this->isShort(need);
     const double most = isUrgent ? this->options.urgentShare : this->options.newRunShare;
-    const bool leavesRefuge = !isUrgent || this->options.urgentLeavesRefuge;
+    const bool leavesRefuge = !isUrgent || this->options.urgentKeepsEvacuationReserve;
     const double share = most - (leavesRefuge ? this->refugeShare(engines, traits) : 0);
-    const Preference preference{this->home,
-                                this->options.distantHandicap,
-                                this->options.candidates,
-                                share,
-                                need.mostDelay,
-                                0,
-                                this->options.weightOfDelay};
+    const Preference preference{
+            this->home, this->options.remotePenalty, this->options.candidates, share, need.maxDelay,
+            0,          this->options.delayWeight};
     return this->cheapest(this->openAmong(engines, avoid), traits, need, preference);
 }
 
-const TargetEntry *EngineChoice::chooseRefuge(std::span<const TargetEntry *const> engines,
-                                              const EngineTraits &traits,
-                                              const GenerationNeed &need,
-                                              const TargetEntry &running,
-                                              const std::set<std::string> &avoid)
+const TargetEntry *EngineChoice::chooseEvacuationTarget(std::span<const TargetEntry *const> engines,
+                                                        const EngineTraits &traits,
+                                                        const GenerationNeed &need,
+                                                        const TargetEntry &running,
+                                                        const std::set<std::string> &avoid)
 {
     std::set<std::string> others = avoid;
     others.insert(running.id);
     // Every engine is compared: those of the run's own data centre are few.
     const Preference preference{running.dataCentre,
-                                this->options.distantCopyHandicap,
+                                this->options.remoteCopyPenalty,
                                 engines.size(),
                                 anyMemory,
                                 Duration::max(),
-                                this->options.refugeBlur,
-                                this->options.refugeWeightOfDelay};
+                                this->options.evacuationCostJitter,
+                                this->options.evacuationDelayWeight};
     return this->cheapest(this->openAmong(engines, others), traits, need, preference);
 }
 
--- a/lib/Routing/engineshares.cpp
+++ b/lib/Routing/engineshares.cpp
@@ -18,13 +18,13 @@
     this->countSharers();
 }
 
-void EngineShares::listed(std::string_view engine)
+void EngineShares::onListed(std::string_view engine)
 {
     this->engines.emplace(engine);
     this->countSharers();
 }
 
-void EngineShares::gone(std::string_view engine)
+void EngineShares::onRemoved(std::string_view engine)
 {
     const auto found = this->engines.find(engine);
     if (found == this->engines.end())
@@ -44,17 +44,17 @@
     this->sharers = std::min(all, std::bit_ceil(wanted));
 }
 
-bool EngineShares::isMine(std::string_view engine) const
+bool EngineShares::isAssigned(std::string_view engine) const
 {
-    return this->isWhole() || this->ranking.ownPlace(engine) < this->sharers;
+    return this->usesAllEngines() || this->ranking.ownRank(engine) < this->sharers;
 }
 
-bool EngineShares::isMineToAsk(std::string_view engine) const
+bool EngineShares::shouldPollLoad(std::string_view engine) const
 {
-    return this->ranking.ownPlace(engine) == 0;
+    return this->ranking.ownRank(engine) == 0;
 }
 
-std::vector<std::string> EngineShares::othersOf(std::string_view engine) const
+std::vector<std::string> EngineShares::otherAssignees(std::string_view engine) const
 {
     std::vector<std::string> names = this->ranking.first(engine, this->sharers);
     std::erase(names, this->ranking.ownName());
--- a/lib/Routing/instanceranking.cpp
+++ b/lib/Routing/instanceranking.cpp
@@ -46,7 +46,7 @@
     this->places.clear();
 }
 
-std::size_t InstanceRanking::ownPlace(std::string_view key) const
+std::size_t InstanceRanking::ownRank(std::string_view key) const
 {
     std::string text(key);
     const auto found = this->places.find(text);
--- a/lib/Routing/knownfleet.cpp
+++ b/lib/Routing/knownfleet.cpp
@@ -16,7 +16,7 @@
     for (const std::string &name : others) {
         const auto [found, isNew] = this->known.try_emplace(name, Instance{now, {}});
         Instance &instance = found->second;
-        if (!isNew && instance.goneSince && now >= this->missedFrom(instance))
+        if (!isNew && instance.goneSince && now >= this->absenceDeadline(instance))
             instance.upSince = now;
         instance.goneSince.reset();
     }
--- a/lib/Routing/runplan.cpp
+++ b/lib/Routing/runplan.cpp
@@ -13,7 +13,7 @@
     this->copy.reset();
 }
 
-void RunPlan::copyBegan()
+void RunPlan::copyStarted()
 {
     this->copying = true;
     ++this->copyTries;
@@ -50,7 +50,7 @@
     this->copyTryAt = this->clock.now() + this->options.firstPause;
 }
 
-void RunPlan::runningLost()
+void RunPlan::engineLost()
 {
     this->lost = true;
     this->copying = false;
--- a/lib/Routing/targetdirectory.cpp
+++ b/lib/Routing/targetdirectory.cpp
@@ -16,10 +16,10 @@
 
 } // namespace
 
-std::string lifeId(std::string_view name, StartTime startedAt)
+std::string incarnationId(std::string_view name, StartTime startedAt)
 {
     std::string id(name);
-    if (startedAt != untoldStart)
+    if (startedAt != unknownStart)
         id += "@" + std::to_string(startedAt.count());
     return id;
 }
@@ -52,7 +52,7 @@
 
 void TargetDirectory::noteStart(const std::string &name, StartTime startedAt)
 {
-    if (startedAt == untoldStart)
+    if (startedAt == unknownStart)
         return;
     if (this->latestStarts.size() >= mostStartsKept)
         this->latestStarts.clear();
@@ -96,7 +96,7 @@
 {
     if (this->isOutdated(entry)) {
         // A target that told its start once tells it always, so this is not its own entry.
-        if (entry.startedAt == untoldStart)
+        if (entry.startedAt == unknownStart)
             this->suspend(entry.name);
         return;
     }
@@ -163,13 +163,13 @@
     return news;
 }
 
-void TargetDirectory::hearStart(std::string_view id, StartTime startedAt)
+void TargetDirectory::updateStartTime(std::string_view id, StartTime startedAt)
 {
     const auto found = this->rowOf(id);
     if (found == this->entries.end())
         return;
     const StartTime known = found->second.entry.startedAt;
-    if (known == untoldStart || startedAt <= known)
+    if (known == unknownStart || startedAt <= known)
         return;
     this->noteStart(found->second.entry.name, startedAt);
     this->endLife(this->entries.find(found->first));
@@ -186,7 +186,7 @@
     this->tellOfUse(this->dataCentres.dropMissing());
 }
 
-void TargetDirectory::noteDataCentre(const DataCentreRecord &record)
+void TargetDirectory::updateDataCentre(const DataCentreRecord &record)
 {
     if (this->dataCentres.take(record))
         this->listener.onDataCentreUse(record.dataCentre, record.outOfUse);
@@ -230,7 +230,7 @@
     return found;
 }
 
-std::vector<TargetEntry> TargetDirectory::staying(std::string_view dataCentre) const
+std::vector<TargetEntry> TargetDirectory::nonLeavingTargets(std::string_view dataCentre) const
 {
     std::vector<TargetEntry> found;
     for (const auto &[name, row] : this->entries) {
@@ -240,7 +240,7 @@
     return found;
 }
 
-bool TargetDirectory::waitsForDataCentre(std::string_view service) const
+bool TargetDirectory::hasTargetsOutOfUse(std::string_view service) const
 {
     return std::any_of(this->entries.begin(), this->entries.end(), [&](const auto &entry) {
         const TargetEntry &target = entry.second.entry;
--- a/unittests/Platform/dialecttest.cpp
+++ b/unittests/Platform/dialecttest.cpp
@@ -54,7 +54,7 @@
                                              {"x-request-priority", "0"},
                                              {"X-Expect-Instance", "other"},
                                              {"X-Own", "kept"}};
-    ForwardOrders orders;
+    ForwardOptions orders;
     orders.timeLeft = std::chrono::milliseconds(1234);
     orders.targetName = "i-1";
     orders.customer = "cust";
@@ -83,7 +83,8 @@
     cr_assert(dialect->describeAnswer(421, {}).misdirected);
     cr_assert_not(dialect->describeAnswer(503, shed).misdirected);
     cr_assert_not(dialect->describeAnswer(503, {}).notExecuted);
-    cr_assert_eq(dialect->comeBackIn(std::chrono::milliseconds(250)).value, std::string("0.250"));
+    cr_assert_eq(dialect->retryAfterHeader(std::chrono::milliseconds(250)).value,
+                 std::string("0.250"));
 }
 
 namespace {
@@ -144,7 +145,7 @@
         headers.push_back({"server-limit", param->value});
     const AnswerFacts said = makePlatformDialect()->describeAnswer(param->status, headers);
     cr_expect_float_eq(said.limitPerSecond.value_or(-1), param->limit, 1e-9, "%s", param->name);
-    cr_expect_eq(said.namesNoLimit, param->namesNone, "%s", param->name);
+    cr_expect_eq(said.reportsNoLimit, param->namesNone, "%s", param->name);
 }
 
 // What a target tells of itself beside its answer. Only its own word counts, and only a number.
@@ -171,7 +172,7 @@
     const std::vector<HttpHeader> headers = {{param->header, param->value}};
     const AnswerFacts said = dialect->describeAnswer(param->status, headers);
     cr_assert_eq(said.leaving, param->leaving, "%s", param->name);
-    cr_assert_eq(said.leaveAloneFor.value_or(std::chrono::milliseconds(0)).count(), param->restMs,
+    cr_assert_eq(said.backOffFor.value_or(std::chrono::milliseconds(0)).count(), param->restMs,
                  "%s", param->name);
 }
 
--- a/unittests/Routing/coldtargetstest.cpp
+++ b/unittests/Routing/coldtargetstest.cpp
@@ -89,7 +89,7 @@
     {
         const bool others = this->fleet.instances > 1;
         auto one = std::make_unique<ColdTargets>(this->clock, instanceName(index), bound, others);
-        one->heard(target, std::chrono::hours(1));
+        one->recordCold(target, std::chrono::hours(1));
         return one;
     }
 
@@ -159,7 +159,7 @@
     {
         if (member.wait(target, ownRate) > Duration(0))
             return;
-        member.sent(target);
+        member.recordSend(target);
         this->sends.push_back(this->clock.now());
     }
 
@@ -232,9 +232,9 @@
 {
     Settled own;
     cr_assert_eq(own.targets.wait("a", ownRate), Duration(0));
-    own.targets.heard("a", std::chrono::seconds(1));
+    own.targets.recordCold("a", std::chrono::seconds(1));
     for (int i = 0; i < 100; ++i)
-        own.targets.sent("a");
+        own.targets.recordSend("a");
     cr_assert_gt(own.targets.wait("a", ownRate), Duration(0));
     cr_assert_eq(own.targets.wait("a", 0), Duration(0));
     own.clock.advance(std::chrono::seconds(1));
@@ -246,23 +246,24 @@
 Test(coldTargets, shorterNewsEndsNothing)
 {
     Settled own;
-    cr_assert(own.targets.heard("a", std::chrono::seconds(3)));
-    cr_assert_not(own.targets.heard("a", std::chrono::seconds(1)));
-    cr_assert_not(own.targets.heard("a", std::chrono::milliseconds(3100)), "a beat tells no news");
+    cr_assert(own.targets.recordCold("a", std::chrono::seconds(3)));
+    cr_assert_not(own.targets.recordCold("a", std::chrono::seconds(1)));
+    cr_assert_not(own.targets.recordCold("a", std::chrono::milliseconds(3100)),
+                  "a beat tells no news");
     own.clock.advance(std::chrono::seconds(2));
     cr_assert(own.targets.isCold("a"));
-    cr_assert(own.targets.heard("a", std::chrono::seconds(3)), "it became cold again");
+    cr_assert(own.targets.recordCold("a", std::chrono::seconds(3)), "it became cold again");
 }
 
 // Guards against a caller that is told to come back before the target takes one more.
 Test(coldTargets, tellsWhenTheNextMayGo)
 {
     Settled own;
-    own.targets.heard("a", std::chrono::seconds(30));
+    own.targets.recordCold("a", std::chrono::seconds(30));
     const std::size_t allowed = own.targets.allowance("a", ownRate);
     for (std::size_t i = 0; i < allowed; ++i) {
         cr_assert_eq(own.targets.wait("a", ownRate), Duration(0));
-        own.targets.sent("a");
+        own.targets.recordSend("a");
     }
     const Duration wait = own.targets.wait("a", ownRate);
     cr_assert_gt(wait, std::chrono::milliseconds(900));
--- a/unittests/Routing/directorytest.cpp
+++ b/unittests/Routing/directorytest.cpp
@@ -64,16 +64,16 @@
     Recorder recorder;
     TargetDirectory directory(recorder);
     directory.put(entryIn("a", "north"));
-    directory.noteDataCentre({"north", 5, true});
+    directory.updateDataCentre({"north", 5, true});
     directory.put(entryIn("b", "north"));
     directory.put(entryIn("c", "south"));
     cr_assert_eq(directory.usable("svc").size(), 1);
-    cr_assert_eq(directory.staying("north").size(), 2);
+    cr_assert_eq(directory.nonLeavingTargets("north").size(), 2);
     cr_assert_neq(directory.find("a"), nullptr, "what runs there is still known");
-    cr_assert(directory.waitsForDataCentre("svc"));
-    directory.noteDataCentre({"north", 6, false});
+    cr_assert(directory.hasTargetsOutOfUse("svc"));
+    directory.updateDataCentre({"north", 6, false});
     cr_assert_eq(directory.usable("svc").size(), 3);
-    cr_assert_not(directory.waitsForDataCentre("svc"));
+    cr_assert_not(directory.hasTargetsOutOfUse("svc"));
     const std::vector<std::string> expected = {"north out", "north back"};
     cr_assert(recorder.uses == expected);
 }
@@ -127,7 +127,7 @@
 {
     TargetEntry entry = entryOf("a", leaving);
     entry.startedAt = StartTime(startedAt);
-    entry.id = lifeId(entry.name, entry.startedAt);
+    entry.id = incarnationId(entry.name, entry.startedAt);
     return entry;
 }
 
@@ -138,11 +138,11 @@
     case Leaving:
         return directory.put(lifeOf(heard.startedAt, heard.fact == Leaving));
     case Told:
-        directory.markLeaving(lifeId("a", StartTime(heard.startedAt)), "told");
+        directory.markLeaving(incarnationId("a", StartTime(heard.startedAt)), "told");
         return;
     case Reported:
-        return directory.hearStart(lifeId("a", StartTime(listedBefore)),
-                                   StartTime(heard.startedAt));
+        return directory.updateStartTime(incarnationId("a", StartTime(listedBefore)),
+                                         StartTime(heard.startedAt));
     case Removed:
         return directory.remove("a", false);
     case Unusable:
--- a/unittests/Routing/enginechoicetest.cpp
+++ b/unittests/Routing/enginechoicetest.cpp
@@ -58,8 +58,8 @@
             this->choices.push_back(std::make_unique<EngineChoice>(
                     this->clock, static_cast<std::uint64_t>(1000 + i), "dc0"));
             for (const TargetEntry &entry : engines) {
-                this->choices.back()->listed(entry);
-                this->choices.back()->reported(entry.id, loadOf(0));
+                this->choices.back()->onListed(entry);
+                this->choices.back()->recordReport(entry.id, loadOf(0));
             }
         }
     }
@@ -71,10 +71,10 @@
         const TargetEntry *chosen =
                 this->choices[instance]->choose(engines, makeTraits(), need, {});
         cr_assert_not_null(chosen);
-        this->choices[instance]->began(chosen->id, std::to_string(serial), need);
+        this->choices[instance]->recordStart(chosen->id, std::to_string(serial), need);
         for (std::size_t i = 0; this->passNotices && i < this->choices.size(); ++i) {
             if (i != instance)
-                this->choices[i]->placedByOthers(chosen->id, need, false);
+                this->choices[i]->recordRemotePlacement(chosen->id, need, false);
         }
         TimePoint &busyUntil = this->busy[chosen->id];
         const TimePoint now = this->clock.now();
@@ -130,8 +130,8 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     for (const TargetEntry &entry : engines) {
-        choice.listed(entry);
-        choice.reported(entry.id, loadOf(entry.id == "e2" ? 1000 : memoryTokens - 500));
+        choice.onListed(entry);
+        choice.recordReport(entry.id, loadOf(entry.id == "e2" ? 1000 : memoryTokens - 500));
     }
     const GenerationNeed need{3000, 400};
     for (int i = 0; i < 3; ++i)
@@ -148,7 +148,7 @@
     char name[24];
     double newRunShare;
     double urgentShare;
-    bool urgentLeavesRefuge;
+    bool urgentKeepsEvacuationReserve;
     int least; // of 100 short generations with long prompts
     int most;
 };
@@ -166,13 +166,13 @@
     {
         this->traits.memoryTokens = 21'800;
         for (const TargetEntry &entry : this->engines)
-            this->choice.listed(entry);
+            this->choice.onListed(entry);
         for (int i = 0; i < 10 * count; ++i)
             this->placeLong();
     }
 
     // An engine leaves, and its runs seek room.
-    void loseOne() { this->choice.gone(this->engines.back().id); }
+    void loseOne() { this->choice.onRemoved(this->engines.back().id); }
 
     // Of 100 short generations with prompts of that size, those that find room.
     int servedShortOnes(std::uint32_t promptTokens)
@@ -203,7 +203,7 @@
                 this->choice.choose(pointers(this->engines), this->traits, need, {});
         if (taken == nullptr)
             return;
-        this->choice.placedByOthers(taken->id, need, true);
+        this->choice.recordRemotePlacement(taken->id, need, true);
         this->placed.push_back({taken->id, need.promptTokens});
     }
 
@@ -211,7 +211,7 @@
     {
         std::uniform_int_distribution<std::size_t> any(0, this->placed.size() - 1);
         const std::size_t ended = any(this->random);
-        this->choice.releasedByOthers(this->placed[ended].engine, this->placed[ended].tokens);
+        this->choice.recordRemoteRelease(this->placed[ended].engine, this->placed[ended].tokens);
         this->placed.erase(this->placed.begin() + static_cast<std::ptrdiff_t>(ended));
     }
 
@@ -235,7 +235,7 @@
     static const EngineChoiceOptions now;
     static CrowdCase cases[] = {
             {"before", 0.92, 0.95, true, 0, 45},
-            {"now", now.newRunShare, now.urgentShare, now.urgentLeavesRefuge, 80, 100}};
+            {"now", now.newRunShare, now.urgentShare, now.urgentKeepsEvacuationReserve, 80, 100}};
     return cr_make_param_array(CrowdCase, cases, std::size(cases));
 }
 
@@ -244,7 +244,7 @@
     EngineChoiceOptions options;
     options.newRunShare = param->newRunShare;
     options.urgentShare = param->urgentShare;
-    options.urgentLeavesRefuge = param->urgentLeavesRefuge;
+    options.urgentKeepsEvacuationReserve = param->urgentKeepsEvacuationReserve;
     CrowdedEngines crowd(options);
     crowd.loseOne();
     const int served = crowd.servedShortOnes(4500);
@@ -262,17 +262,17 @@
     for (const bool before : {true, false}) {
         ManualClock clock;
         EngineChoiceOptions options;
-        options.refugeBlur = 0;
+        options.evacuationCostJitter = 0;
         if (before)
-            options.refugeWeightOfDelay = options.weightOfDelay;
+            options.evacuationDelayWeight = options.delayWeight;
         EngineChoice choice(clock, 1, "dc0", options);
         for (const TargetEntry &entry : engines)
-            choice.listed(entry);
-        choice.reported("e1", loadOf(4000));
-        choice.placedByOthers("e1", {2500, 400}, false);
-        choice.reported("e2", loadOf(24000));
-        const TargetEntry *refuge =
-                choice.chooseRefuge(pointers(engines), makeTraits(), {3000, 400}, engines[0], {});
+            choice.onListed(entry);
+        choice.recordReport("e1", loadOf(4000));
+        choice.recordRemotePlacement("e1", {2500, 400}, false);
+        choice.recordReport("e2", loadOf(24000));
+        const TargetEntry *refuge = choice.chooseEvacuationTarget(pointers(engines), makeTraits(),
+                                                                  {3000, 400}, engines[0], {});
         cr_assert_eq(refuge->id, std::string(before ? "e1" : "e2"));
     }
 }
@@ -286,11 +286,11 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     GenerationNeed need{3000, 40};
-    need.mostDelay = std::chrono::milliseconds(900);
+    need.maxDelay = std::chrono::milliseconds(900);
     for (const TargetEntry &entry : engines) {
-        choice.listed(entry);
+        choice.onListed(entry);
         for (int i = 0; i < 3; ++i)
-            choice.placedByOthers(entry.id, {3000, 40}, false);
+            choice.recordRemotePlacement(entry.id, {3000, 40}, false);
     }
     cr_assert_null(choice.choose(list, makeTraits(), need, {}));
     clock.advance(std::chrono::milliseconds(1000));
@@ -304,9 +304,9 @@
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
-    choice.listed(engines[0]);
+    choice.onListed(engines[0]);
     GenerationNeed need{6000, 4};
-    need.mostDelay = std::chrono::milliseconds(800);
+    need.maxDelay = std::chrono::milliseconds(800);
     cr_assert_not_null(choice.choose(pointers(engines), makeTraits(), need, {}));
 }
 
@@ -322,11 +322,11 @@
     for (std::uint64_t seed = 0; seed < 40; ++seed) {
         EngineChoice choice(clock, seed, "dc1");
         for (const TargetEntry &entry : engines) {
-            choice.listed(entry);
-            choice.reported(entry.id, loadOf(entry.id == "e1" ? 5000 : 6000));
+            choice.onListed(entry);
+            choice.recordReport(entry.id, loadOf(entry.id == "e1" ? 5000 : 6000));
         }
         const TargetEntry *refuge =
-                choice.chooseRefuge(list, makeTraits(), {3000, 400}, engines[0], {});
+                choice.chooseEvacuationTarget(list, makeTraits(), {3000, 400}, engines[0], {});
         cr_assert_eq(refuge->dataCentre, std::string("dc0"));
         ++taken[refuge->id];
     }
@@ -346,17 +346,17 @@
     const GenerationNeed need{3000, 400};
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
-    choice.listed(engines[0]);
-    choice.began("e0", "own", need);
+    choice.onListed(engines[0]);
+    choice.recordStart("e0", "own", need);
     clock.advance(std::chrono::seconds(1));
-    choice.reported("e0", loadOf(memoryTokens - 1000));
+    choice.recordReport("e0", loadOf(memoryTokens - 1000));
     cr_assert_null(choice.choose(list, makeTraits(), need, {}));
-    choice.released("e0", "own", 3100);
-    choice.releasedByOthers("e0", 3100);
+    choice.recordRelease("e0", "own", 3100);
+    choice.recordRemoteRelease("e0", 3100);
     cr_assert_not_null(choice.choose(list, makeTraits(), need, {}));
     cr_assert_float_eq(choice.forecast("e0").memoryTokens, memoryTokens - 7200, 1);
     clock.advance(std::chrono::seconds(1));
-    choice.reported("e0", loadOf(memoryTokens - 7200));
+    choice.recordReport("e0", loadOf(memoryTokens - 7200));
     cr_assert_float_eq(choice.forecast("e0").memoryTokens, memoryTokens - 7200, 1,
                        "the report contains it, so it counts no longer");
 }
@@ -371,9 +371,9 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     for (int i = 0; i < 3; ++i)
-        choice.placedByOthers("e0", {3000, 400}, false);
+        choice.recordRemotePlacement("e0", {3000, 400}, false);
     clock.advance(std::chrono::milliseconds(200));
-    choice.listed(engines[0]);
+    choice.onListed(engines[0]);
     cr_assert_float_eq(choice.forecast("e0").memoryTokens, 9000, 1);
     cr_assert(choice.forecast("e0").delay > std::chrono::milliseconds(500));
 }
@@ -385,10 +385,10 @@
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
-    choice.listed(engines[0]);
+    choice.onListed(engines[0]);
     EngineLoad load = loadOf(20'000);
     load.running = 7;
-    choice.reported("e0", load);
+    choice.recordReport("e0", load);
     const double before = choice.forecast("e0").memoryTokens;
     clock.advance(std::chrono::seconds(1));
     cr_assert_float_eq(choice.forecast("e0").memoryTokens - before, 7 * 90, 1);
@@ -406,13 +406,13 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     for (const TargetEntry &entry : engines) {
-        choice.listed(entry);
-        choice.reported(entry.id, loadOf(22'000));
+        choice.onListed(entry);
+        choice.recordReport(entry.id, loadOf(22'000));
     }
     cr_assert_not_null(choice.choose(staying, makeTraits(), need, {}));
-    choice.gone("e4");
+    choice.onRemoved("e4");
     cr_assert_null(choice.choose(staying, makeTraits(), need, {}));
-    cr_assert_not_null(choice.chooseRefuge(staying, makeTraits(), need, engines[4], {}));
+    cr_assert_not_null(choice.chooseEvacuationTarget(staying, makeTraits(), need, engines[4], {}));
     clock.advance(std::chrono::milliseconds(1500));
     cr_assert_not_null(choice.choose(staying, makeTraits(), need, {}));
 }
@@ -428,22 +428,22 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     for (const TargetEntry &entry : engines) {
-        choice.listed(entry);
-        choice.reported(entry.id, loadOf(entry.id == "e0" ? 0 : 9000));
+        choice.onListed(entry);
+        choice.recordReport(entry.id, loadOf(entry.id == "e0" ? 0 : 9000));
     }
-    choice.failedForOther("e0", "i1");
+    choice.recordRemoteFailure("e0", "i1");
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e0"));
-    choice.failedForOther("e0", "i2");
+    choice.recordRemoteFailure("e0", "i2");
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e1"));
     clock.advance(std::chrono::milliseconds(2100));
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e0"));
-    choice.failedForOther("e0", "i3");
+    choice.recordRemoteFailure("e0", "i3");
     clock.advance(std::chrono::milliseconds(3900));
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e1"),
                  "one failure more, and twice as long");
     clock.advance(std::chrono::milliseconds(200));
-    choice.answered("e0");
-    choice.failedForOther("e0", "i1");
+    choice.recordSuccess("e0");
+    choice.recordRemoteFailure("e0", "i1");
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e0"),
                  "it has served since, so one failure is one again");
 }
@@ -456,11 +456,11 @@
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
     for (const TargetEntry &entry : engines) {
-        choice.listed(entry);
-        choice.reported(entry.id, loadOf(entry.id == "e0" ? 0 : 9000));
+        choice.onListed(entry);
+        choice.recordReport(entry.id, loadOf(entry.id == "e0" ? 0 : 9000));
     }
     for (int i = 0; i < 10; ++i)
-        choice.failedForOther("e0", "i1");
+        choice.recordRemoteFailure("e0", "i1");
     cr_assert_eq(choice.choose(pointers(engines), makeTraits(), {3000, 400}, {})->id,
                  std::string("e0"));
 }
--- a/unittests/Routing/enginesharestest.cpp
+++ b/unittests/Routing/enginesharestest.cpp
@@ -40,7 +40,7 @@
         all.emplace_back(instanceName(i));
         all.back().setInstances(others);
         for (int engine = 0; engine < fleet.engines; ++engine)
-            all.back().listed(engineName(engine));
+            all.back().onListed(engineName(engine));
     }
     return all;
 }
@@ -67,17 +67,17 @@
         std::size_t sharers = 0;
         int asking = 0;
         for (std::size_t i = 0; i < all.size(); ++i) {
-            sharers += all[i].isMine(id) ? 1 : 0;
-            own[i] += all[i].isMine(id) ? 1 : 0;
-            asking += all[i].isMineToAsk(id) ? 1 : 0;
-            cr_assert(!all[i].isMineToAsk(id) || all[i].isMine(id));
+            sharers += all[i].isAssigned(id) ? 1 : 0;
+            own[i] += all[i].isAssigned(id) ? 1 : 0;
+            asking += all[i].shouldPollLoad(id) ? 1 : 0;
+            cr_assert(!all[i].shouldPollLoad(id) || all[i].isAssigned(id));
         }
         cr_assert(sharers <= fleet->mostSharers, "%zu share one engine", sharers);
         cr_assert(sharers >= std::min<std::size_t>(all.size(), 8), "%zu share one engine", sharers);
         cr_assert(asking == 1);
-        for (const std::string &other : all[0].othersOf(id)) {
+        for (const std::string &other : all[0].otherAssignees(id)) {
             const int index = std::stoi(other.substr(other.find('-') + 1));
-            cr_assert(all[static_cast<std::size_t>(index)].isMine(id));
+            cr_assert(all[static_cast<std::size_t>(index)].isAssigned(id));
         }
     }
     const std::size_t least = *std::min_element(own.begin(), own.end());
@@ -95,11 +95,11 @@
     EngineShares &first = all[0];
     std::vector<bool> before;
     for (int engine = 0; engine < fleet.engines; ++engine)
-        before.push_back(first.isMine(engineName(engine)));
+        before.push_back(first.isAssigned(engineName(engine)));
     first.setInstances(others);
     int lost = 0;
     for (int engine = 0; engine < fleet.engines; ++engine) {
-        const bool now = first.isMine(engineName(engine));
+        const bool now = first.isAssigned(engineName(engine));
         lost += before[static_cast<std::size_t>(engine)] && !now ? 1 : 0;
     }
     cr_assert(lost == 0, "%d engines were taken from it", lost);
--- a/unittests/Routing/knownfleettest.cpp
+++ b/unittests/Routing/knownfleettest.cpp
@@ -46,7 +46,7 @@
     cr_assert(fleet.instances().at("b").upSince == first, "gone for a moment");
     fleet.setInstances(onlyA);
     const KnownFleet::Instance &gone = fleet.instances().at("b");
-    cr_assert(fleet.missedFrom(gone) == clock.now() + 4s);
+    cr_assert(fleet.absenceDeadline(gone) == clock.now() + 4s);
     clock.advance(4s);
     fleet.setInstances(both);
     cr_assert(fleet.instances().at("b").upSince == clock.now());
--- a/unittests/Routing/runplantest.cpp
+++ b/unittests/Routing/runplantest.cpp
@@ -33,7 +33,7 @@
 Test(runPlan, calmRunWaits)
 {
     Plan run(moving());
-    run.plan.eventMade();
+    run.plan.eventProduced();
     cr_assert(run.step() == RunStepKind::Wait);
 }
 
@@ -45,7 +45,7 @@
     Plan run(moving());
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::Wait);
-    run.plan.eventMade();
+    run.plan.eventProduced();
     cr_assert(run.step() == RunStepKind::MakeCopy);
 }
 
@@ -55,10 +55,10 @@
 Test(runPlan, leavingEngineIsCopiedThenLeft)
 {
     Plan run(moving());
-    run.plan.eventMade();
+    run.plan.eventProduced();
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::MakeCopy);
-    run.plan.copyBegan();
+    run.plan.copyStarted();
     cr_assert(run.step() == RunStepKind::Wait);
     run.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     const RunStep step = run.plan.next();
@@ -74,14 +74,14 @@
 Test(runPlan, refusedCopyIsTriedElsewhereAFewTimes)
 {
     Plan run(moving());
-    run.plan.eventMade();
+    run.plan.eventProduced();
     run.plan.engineLeaving("e1");
     int tries = 0;
     for (; tries < 100 && run.step() == RunStepKind::MakeCopy; ++tries) {
         const std::string id = "e" + std::to_string(tries + 2);
-        run.plan.copyBegan();
+        run.plan.copyStarted();
         run.plan.copyFailed(id);
-        cr_assert(run.plan.unfit().count(id) == 1);
+        cr_assert(run.plan.unsuitableEngines().count(id) == 1);
         cr_assert(run.step() == RunStepKind::Wait, "full engines need a moment");
         run.clock.advance(std::chrono::milliseconds(100));
     }
@@ -93,17 +93,17 @@
 Test(runPlan, copyThatIsGoneIsNotUsed)
 {
     Plan run(moving());
-    run.plan.eventMade();
+    run.plan.eventProduced();
     run.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     run.plan.engineLeaving("e2");
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::MakeCopy);
 
     Plan old(moving());
-    old.plan.eventMade();
+    old.plan.eventProduced();
     old.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     old.clock.advance(std::chrono::seconds(6));
-    old.plan.runningLost();
+    old.plan.engineLost();
     cr_assert(old.step() == RunStepKind::Lost);
 }
 
@@ -113,9 +113,9 @@
 Test(runPlan, lostEngineIsResumedFromTheCopy)
 {
     Plan run(moving());
-    run.plan.eventMade();
+    run.plan.eventProduced();
     run.plan.copyMade("e2", {"10.0.0.1:1", "h"});
-    run.plan.runningLost();
+    run.plan.engineLost();
     const RunStep step = run.plan.next();
     cr_assert(step.kind == RunStepKind::Resume);
     cr_assert_eq(step.from.source, std::string("10.0.0.1:1"));
@@ -126,12 +126,12 @@
 Test(runPlan, onlyWhatMayRunAgainStartsAnew)
 {
     Plan once(moving());
-    once.plan.runningLost();
+    once.plan.engineLost();
     cr_assert(once.step() == RunStepKind::Lost);
     RunPlanOptions again = moving();
     again.mayRunAgain = true;
     Plan resumable(again);
-    resumable.plan.runningLost();
+    resumable.plan.engineLost();
     cr_assert(resumable.step() == RunStepKind::StartAnew);
 }
 
@@ -143,7 +143,7 @@
     RunPlanOptions options = moving();
     options.firstPause = std::chrono::milliseconds(60);
     Plan run(options);
-    run.plan.eventMade();
+    run.plan.eventProduced();
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::Wait);
     run.clock.advance(std::chrono::milliseconds(40));
