--- a/include/jaytrack/Routing/coldtargets.h
+++ b/include/jaytrack/Routing/coldtargets.h
@@ -1,10 +1,11 @@
-// How many requests this instance may send to a target that is cold.
+// Limits the requests that this instance sends to a cold target.
 //
-// Load that it answers: a target that has just started, or a whole data centre that comes back,
-// looks empty to every instance at once, and breaks down when all send what it could serve warm.
-// The operators' bound is on the sum over all instances, which cannot count together within the
-// second that it is for. So a few instances, the same for all that know the same fleet, send each a
-// part of it, and the others leave the target alone until it is warm.
+// A target that has just started, or a whole data centre that returns to service, looks idle to
+// every instance at once and is overloaded if all of them send it what it could serve when warm.
+// The operators' bound applies to the sum over all instances, and the instances cannot count
+// together within the one second for which it applies. Therefore a few instances, which are the
+// same for all that know the same fleet, each send a part of the bound, and the others send the
+// target nothing until it is warm.
 #ifndef JAYTRACK_ROUTING_COLDTARGETS_H
 #define JAYTRACK_ROUTING_COLDTARGETS_H
 
@@ -19,8 +20,8 @@
 
 namespace jaytrack {
 
-// The operators' bound: a cold target gets at most its own rate x overage + extra requests in any
-// second, over all instances.
+// The operators' bound: a cold target receives at most its own rate x overage + extra requests in
+// any second, summed over all instances.
 struct ColdBound
 {
     double overage = 1;
@@ -29,49 +30,53 @@
 
 struct ColdTargetOptions
 {
-    // The part of the bound that the instances known to each other use together. The rest is for
-    // instances that know the fleet otherwise: as some come and go, the first ones for a target
-    // change, and those of before and after may both send within one second.
-    double usedPart = 0.5;
-
-    // Longer than the second of the bound by what one request may be slower than another on its
-    // way.
+    // The part of the bound that the instances known to each other use together. The rest is
+    // reserved for instances with a different view of the fleet: when instances join or leave, the
+    // first-ranked instances of a target change, and those of the old and of the new view may both
+    // send within one second.
+    double usablePart = 0.5;
+
+    // Longer than the one second of the bound by the amount by which the transit times of two
+    // requests may differ.
     Duration window = std::chrono::milliseconds(1100);
 
-    // An instance that has just started does not know the others yet.
+    // After its start an instance waits this long, because it does not know the other instances
+    // yet.
     Duration settleTime = std::chrono::seconds(3);
 
-    // How soon an instance that does not know the fleet looks again.
-    Duration lookAgain = std::chrono::milliseconds(200);
+    // Interval at which an instance that does not know the fleet yet checks again.
+    Duration recheckInterval = std::chrono::milliseconds(200);
 };
 
 class ColdTargets
 {
 public:
-    // An instance that expects others sends nothing to cold targets before it has met one.
-    ColdTargets(const Clock &time, std::string ownName, ColdBound given, bool expectsOthers,
-                ColdTargetOptions options = {});
+    // An instance that expects others sends nothing to cold targets until it has discovered at
+    // least one other instance.
+    ColdTargets(const Clock &time, std::string ownName, ColdBound coldBound, bool expectsOthers,
+                ColdTargetOptions initialOptions = {});
 
-    // The names of the other instances that are up.
+    // Sets the names of the other instances that are up.
     void setInstances(std::span<const std::string> others);
 
-    // The target is cold for so long from now on. What was told before holds on if it is longer,
-    // since entries, notices and answers overtake each other. Returns whether it is news.
-    bool recordCold(std::string_view target, Duration left);
+    // Records that the target is cold for the given time from now on. An earlier record that lasts
+    // longer stays in force, since entries, notices and answers may arrive out of order. Returns
+    // whether the cold period became noticeably longer.
+    bool recordCold(std::string_view target, Duration remaining);
 
-    // How long the target stays cold; zero if it is warm.
+    // Returns how long the target stays cold; zero if it is warm.
     Duration coldFor(std::string_view target) const;
 
     bool isCold(std::string_view target) const { return this->coldFor(target) > Duration(0); }
 
-    // The time until this instance may send the target a request; zero if it may now. A target
-    // without a rate of its own bears any.
+    // Returns the time until this instance may send the target a request; zero if it may do so now.
+    // A target without a rate of its own is not limited.
     Duration wait(std::string_view target, double ownRate) const;
 
-    // A request of this instance goes to the target.
+    // Records that this instance sends the target a request.
     void recordSend(std::string_view target);
 
-    // Requests that this instance may send the target within one window.
+    // Returns how many requests this instance may send the target within one window.
     std::size_t allowance(std::string_view target, double ownRate) const;
 
 private:
@@ -90,7 +95,7 @@
     ColdTargetOptions options;
     TimePoint startedAt;
     KnownFleet fleet;
-    InstanceRanking ranking; // of all that are known
+    InstanceRanking ranking; // of all known instances
     std::map<std::string, Account, std::less<>> accounts;
 };
 
--- a/include/jaytrack/Routing/datacentreuse.h
+++ b/include/jaytrack/Routing/datacentreuse.h
@@ -1,8 +1,9 @@
-// Which data centres the operators have put out of use. Nothing new is sent to the targets there
-// until they are put back; what runs there goes on.
+// Tracks which data centres the operators have put out of use. Targets there receive no new work
+// until the data centre is put back; work that already runs there continues.
 //
-// Load that it answers: maintenance or trouble of a whole data centre. A quarter of all targets is
-// to be left alone within seconds by every instance, and comes back at once, cold as it may be.
+// This serves maintenance or failure of a whole data centre. Every instance must stop using about a
+// quarter of all targets within seconds, and must use them again as soon as the data centre is put
+// back, even if its targets are cold.
 #ifndef JAYTRACK_ROUTING_DATACENTREUSE_H
 #define JAYTRACK_ROUTING_DATACENTREUSE_H
 
@@ -15,7 +16,7 @@
 
 namespace jaytrack {
 
-// What the operators say of one data centre, at a revision of the platform's store.
+// The operators' setting for one data centre, at a revision of the platform's store.
 struct DataCentreRecord
 {
     std::string dataCentre;
@@ -26,19 +27,20 @@
 class DataCentreUse
 {
 public:
-    // Takes one change; returns whether it changes the data centre's use. Notices of several
-    // instances overtake each other, so a record that is older than one taken before is ignored.
-    bool take(const DataCentreRecord &record);
+    // Applies one change; returns whether it changes the data centre's use. Notices of several
+    // instances may arrive out of order, so a record older than one already applied is ignored.
+    bool apply(const DataCentreRecord &record);
 
-    // Takes all records that the store holds, and returns the data centres whose use changes. Those
-    // that it lacks are back in use, unless the store came back from an older copy just now and the
-    // operators' orders are still being written again.
-    std::vector<std::string> takeAll(std::span<const DataCentreRecord> records, bool keepMissing);
+    // Applies all records that the store holds, and returns the data centres whose use changes.
+    // Data centres without a record are back in use, unless the store has just been restored from
+    // an older copy and the operators' settings are still being written again.
+    std::vector<std::string> applyAll(std::span<const DataCentreRecord> records, bool keepMissing);
 
-    // Puts back what no order has confirmed since the store's return, and returns which.
+    // Puts back the data centres whose settings have not been written again since the store was
+    // restored, and returns their names.
     std::vector<std::string> dropMissing();
 
-    // Revisions known so far belong to a history that no longer exists.
+    // Forgets all known revisions, because they belong to a store history that no longer exists.
     void forgetRevisions();
 
     bool isOutOfUse(std::string_view dataCentre) const;
@@ -48,7 +50,7 @@
     {
         std::uint64_t revision = 0;
         bool outOfUse = false;
-        bool missing = false; // not in the store's copy; out of use until that is settled
+        bool missing = false; // not in the restored store; out of use until dropMissing()
     };
 
     std::map<std::string, State, std::less<>> states;
--- a/include/jaytrack/Routing/enginechoice.h
+++ b/include/jaytrack/Routing/enginechoice.h
@@ -1,10 +1,11 @@
-// Which engine gets a generation, and which one takes it in when its own is leaving.
+// Chooses the engine that runs a new generation, and the engine that takes over a run whose own
+// engine is leaving.
 //
-// Load that it answers: some instances choose at the same time among the same engines on reports
-// that lag by half a second and more. Whoever takes the emptiest engine takes the one that all
-// others take too, and an engine that has just started fills its queue of prompts within one
-// report. So the better of a few random engines is taken, judged by the last report and by what
-// this instance sent since.
+// Several instances choose concurrently among the same engines, based on load reports that are half
+// a second old or more. If each chose the least loaded engine, all would choose the same one, and
+// the prompt queue of an engine that has just started would fill up within one report interval.
+// Therefore only a few random engines are compared, based on the last report and on what has been
+// sent to them since.
 #ifndef JAYTRACK_ROUTING_ENGINECHOICE_H
 #define JAYTRACK_ROUTING_ENGINECHOICE_H
 
@@ -20,86 +21,90 @@
 
 namespace jaytrack {
 
-// What a generation will need, as far as is known.
+// The estimated resource needs of a generation.
 struct GenerationNeed
 {
     std::uint32_t promptTokens = 0;
-    std::uint32_t outputTokens = 0;      // expected
-    Duration maxDelay = Duration::max(); // until its prompt is read, or its first token is late
+    std::uint32_t outputTokens = 0; // expected
+    Duration maxDelay =
+            Duration::max(); // until its prompt has been read; beyond it the first token is late
 };
 
 struct EngineChoiceOptions
 {
-    // Engines compared for each generation. Notices between instances take milliseconds, so two
-    // rarely choose the same engine in the same moment; a few candidates still spread those that
-    // do.
+    // Number of engines compared for each generation. Notices between instances take milliseconds,
+    // so two instances rarely choose the same engine at the same moment; comparing a few candidates
+    // is enough to spread those that do.
     std::size_t candidates = 6;
 
-    // Part of an engine's memory up to which new generations are let in. The rest is for the growth
-    // of those that run, for the runs of engines that leave (a sixth of all engines at a time), and
-    // for the prompts of short ones: where long ones may fill 0.92 of engines that hold six of
-    // them, half of the largest tenth of the short ones is refused.
+    // Part of an engine's memory up to which new generations are admitted. The rest is reserved for
+    // the growth of running generations, for the runs of leaving engines (a sixth of all engines at
+    // a time), and for the prompts of short generations: if long generations may fill 0.92 of
+    // engines that hold six of them, half of the largest tenth of the short ones is refused.
     double newRunShare = 0.88;
 
-    // The same for short urgent generations, which give their memory back within half a second,
-    // before those that run there have grown into it.
+    // The same for short urgent generations. They release their memory within half a second, before
+    // the generations running there have grown into it.
     double urgentShare = 0.99;
 
-    // Generations of fewer expected tokens than this count as short.
+    // Generations with fewer expected output tokens than this count as short.
     std::uint32_t shortTokens = 64;
 
-    // What a second until the first token weighs against a whole memory.
+    // Cost of one second of delay until the first token, relative to the whole memory of an engine.
     double delayWeight = 1.0;
 
-    // The same for a run that seeks refuge. What its copy lacks is read behind the prompts that
-    // wait there, and a pause of a fifth of a second makes the whole stream late, where a first
-    // token has more than a second.
+    // The same for a run that is evacuated. The tokens that its copy lacks are read after the
+    // prompts already waiting there, and a pause of a fifth of a second makes the whole stream
+    // late, whereas a first token may take more than a second.
     double evacuationDelayWeight = 3.0;
 
-    // Whether short urgent generations leave room to the runs of leaving engines too.
+    // Whether short urgent generations also leave the evacuation reserve free.
     bool urgentKeepsEvacuationReserve = false;
 
-    // Prompt tokens that an engine reads in a millisecond between the tokens of its other requests,
-    // until it is learnt: half of the 14 that the sheets give for an engine that does nothing else.
+    // Prompt tokens that an engine reads per millisecond while it also generates tokens for its
+    // other requests. This initial value is half of the 14 tokens that the data sheets state for an
+    // otherwise idle engine; later the value is learnt.
     double promptTokensPerMilli = 7;
 
-    // Costs are blurred by up to this much, in parts of the memory, where a run seeks refuge: all
-    // instances learn of a leaving in the same millisecond, know the same, and would all choose the
-    // same engine before their notices reach each other.
+    // A random amount of up to this much, as a part of the memory, is added to the cost of each
+    // engine when a run is evacuated. All instances learn in the same millisecond that an engine is
+    // leaving, have the same information, and would otherwise all choose the same engine before
+    // their notices reach each other.
     double evacuationCostJitter = 0.1;
 
-    // Handicap, in parts of the memory, for a new run at an engine in another data centre: bytes
-    // between them are priced.
+    // Cost, as a part of the memory, added for a new run at an engine in another data centre,
+    // because traffic between data centres is charged.
     double remotePenalty = 0.05;
 
-    // The same for a copy whose engine is leaving: between data centres it takes twice as long (0.4
-    // s for a mean run), and all copies that leave one engine wait for each other on its link.
+    // The same for the copy of a run whose engine is leaving. A copy between data centres takes
+    // twice as long (0.4 s for an average run), and all copies from one engine share its link.
     double remoteCopyPenalty = 0.4;
 
-    // Tokens that each run adds to an engine's memory in a second, between two reports: a token a
-    // step, and steps of 11 ms in a batch of six that shares the engine with prompts.
+    // Tokens by which each run grows an engine's memory per second between two reports: one token
+    // per step, at steps of 11 ms in a batch of six that shares the engine with prompts.
     double growthPerRun = 90;
 
-    // Runs of a leaving engine seek room at the others for about this long. Until then new
-    // generations leave that room to them: whoever is refused at the door can come back, a run that
-    // finds no room is lost with all that was made.
+    // Runs of a leaving engine look for memory at other engines for about this long. During this
+    // time new generations leave that memory free: a caller that is refused can retry, but a run
+    // that finds no memory is lost together with all its output.
     Duration evacuationTime = std::chrono::milliseconds(1500);
 
-    // The most, in parts of an engine's memory, that new generations leave to such runs.
+    // The largest part of an engine's memory that new generations leave free for such runs.
     double maxEvacuationReserve = 0.15;
 
-    // What others say of an engine that is not listed is kept for this long. Listings reach the
-    // instances within a second of each other.
-    Duration keepUnlisted = std::chrono::seconds(5);
+    // Notices of other instances about an engine that is not listed are kept for this long.
+    // Listings reach the instances within a second of each other.
+    Duration unlistedRetention = std::chrono::seconds(5);
 
-    // An engine is left alone for a while after so many failures of this instance, or failures of
-    // so many instances: one whose own way is bad shuts no engine out for the others. If it fails
-    // once more after that, it is left alone for twice as long, and so on.
+    // An engine is avoided for a while after this many failures observed by this instance, or after
+    // failures at this many instances. One instance with a bad network path therefore does not
+    // exclude an engine for all others. If the engine fails again afterwards, it is avoided for
+    // twice as long, and so on.
     std::size_t failuresToAvoid = 2;
     Duration avoidFor = std::chrono::seconds(2);
-    int mostDoublings = 2;
+    int maxDoublings = 2;
 
-    // Failures further apart than this have nothing to do with each other.
+    // Failures further apart than this are treated as unrelated.
     Duration failureWindow = std::chrono::seconds(3);
 };
 
@@ -107,109 +112,114 @@
 {
 public:
     EngineChoice(const Clock &time, std::uint64_t seed, std::string homeDataCentre,
-                 EngineChoiceOptions given = {});
+                 EngineChoiceOptions initialOptions = {});
 
     void onListed(const TargetEntry &entry);
     void onRemoved(std::string_view id);
 
-    // The engine's life ended with all that ran there, so no run seeks room elsewhere.
+    // Removes the engine because this incarnation has ended together with its runs, so none of them
+    // has to be evacuated.
     void forget(std::string_view id);
 
     void recordReport(std::string_view id, const EngineLoad &load);
 
-    // An engine failed a generation or a question of this instance, or of another one: not reached,
-    // reset, broken off or refused. One that says that it is well and fails all that comes looks
-    // empty, and would be given everything.
+    // Records that an engine failed a generation or a load query of this instance, or of another
+    // one: it was not reachable, reset the connection, broke off or refused. An engine that reports
+    // to be healthy but fails all requests looks idle and would otherwise receive all of them.
     void recordFailure(std::string_view id);
     void recordRemoteFailure(std::string_view id, std::string_view instance);
 
-    // A generation of this instance got its first event there.
+    // Records that a generation of this instance received its first event from the engine.
     void recordSuccess(std::string_view id);
 
-    // A prompt of this instance goes to an engine, which has to read it.
+    // Records that this instance sends a prompt to an engine, which has to read it.
     void recordStart(std::string_view id, std::string_view run, const GenerationNeed &need);
 
-    // The run's first token came, so its prompt has been read.
+    // Records the run's first token, which shows that its prompt has been read.
     void firstToken(std::string_view id, std::string_view run);
 
-    // A copy of a run of this instance goes to an engine; nothing of it need be read.
+    // Records that a copy of a run of this instance is sent to an engine, which does not have to
+    // read the prompt.
     void recordCopy(std::string_view id, const GenerationNeed &need);
 
-    // A run or a copy of this instance is gone from an engine and held that many tokens there.
+    // Records that a run or a copy of this instance, which held this many tokens, no longer exists
+    // at an engine.
     void recordRelease(std::string_view id, std::string_view run, std::uint32_t tokens);
 
-    // The same of another instance. Its notice may come before the engine's listing does, so what
-    // it says of an unknown engine is kept for a while.
+    // The same for other instances. A notice may arrive before the engine's listing does, so
+    // notices about an unknown engine are kept for a while.
     void recordRemotePlacement(std::string_view id, const GenerationNeed &need, bool copied);
     void recordRemoteRelease(std::string_view id, std::uint32_t tokens);
 
-    // The engine for a generation among those given; null if none that was compared has room for
-    // it. avoid names engines that have been tried.
+    // Returns the engine for a generation among the given ones; null if no compared engine has
+    // enough memory and is fast enough. avoid contains engines that have been tried already.
     const TargetEntry *choose(std::span<const TargetEntry *const> engines,
                               const EngineTraits &traits, const GenerationNeed &need,
                               const std::set<std::string> &avoid);
 
-    // Why the last choice compared found no engine, for the log.
+    // Why the last choice found no engine, for the log.
     struct Shortage
     {
-        int full = 0; // engines without the memory
-        int slow = 0; // engines with it that would read the prompt too late
+        int full = 0; // engines without enough memory
+        int slow = 0; // engines with enough memory that would read the prompt too late
     };
     const Shortage &lastShortage() const { return this->shortage; }
 
-    // The engine to which a run moves whose own is leaving; null if there is none but those to
-    // avoid.
+    // Returns the engine to which a run moves when its own is leaving; null if there is none
+    // besides those to avoid.
     const TargetEntry *chooseEvacuationTarget(std::span<const TargetEntry *const> engines,
                                               const EngineTraits &traits,
                                               const GenerationNeed &need,
                                               const TargetEntry &running,
                                               const std::set<std::string> &avoid);
 
-    // Tokens of memory that the engine is expected to hold, with the age of the report behind it.
+    // The memory in tokens that the engine is estimated to hold, with the age of the report on
+    // which the estimate is based.
     struct Forecast
     {
         double memoryTokens = 0;
         Duration reportAge{0};
-        Duration delay{0}; // until the prompts that wait there will have been read
+        Duration delay{0}; // until all prompts waiting there have been read
     };
     Forecast forecast(std::string_view id) const;
 
 private:
-    // A prompt of this instance from which the speed of reading is learnt.
-    struct Reading
+    // A prompt of this instance from which the reading speed is learnt.
+    struct PendingPrompt
     {
         std::uint32_t promptTokens;
         TimePoint since;
-        bool alone; // no other prompt was waiting when this one came
+        bool alone; // no other prompt was waiting when this one arrived
     };
 
-    // Memory that was taken (positive) or given back, until a report contains it.
+    // Memory taken (positive) or released (negative) since the last report.
     struct Change
     {
         double tokens;
         TimePoint since;
     };
 
-    struct Board
+    struct EngineState
     {
         EngineLoad load;
         TimePoint reportedAt;
         bool everReported = false;
-        std::map<std::string, Reading, std::less<>> reading;
+        std::map<std::string, PendingPrompt, std::less<>> pendingPrompts;
         std::vector<Change> changes;
-        TimePoint promptsReadBy; // when the prompts that were placed so far will have been read
+        TimePoint promptsReadBy; // when all prompts placed so far will have been read
         std::size_t ownFailures = 0;
         std::set<std::string, std::less<>> failedBy; // instances
         TimePoint failedAt;
         TimePoint avoidedUntil;
-        int timesAvoided = 0; // in a row
+        int timesAvoided = 0; // consecutive times
         bool leaving = false;
         bool listed = false;
         std::string service;
-        TimePoint noticedAt; // of a board that is not listed: when others last spoke of the engine
+        TimePoint noticedAt; // for an engine that is not listed: when another instance last sent a
+                             // notice about it
     };
 
-    // Memory of an engine that has left, whose runs seek room elsewhere.
+    // The memory of an engine that has left and whose runs need memory elsewhere.
     struct Departure
     {
         std::string service;
@@ -217,31 +227,33 @@
         TimePoint at;
     };
 
-    void noteFailure(Board &board, std::string_view instance);
-    double refugeShare(std::span<const TargetEntry *const> engines, const EngineTraits &traits);
-    Board &noticedBoard(std::string_view id);
-    void dropStaleBoards();
-    void change(Board &board, double tokens);
-    double memoryOf(const Board &board) const;
-    Duration delayOf(const Board &board) const;
+    void noteFailure(EngineState &state, std::string_view instance);
+    double evacuationReserve(std::span<const TargetEntry *const> engines,
+                             const EngineTraits &traits);
+    EngineState &stateForNotice(std::string_view id);
+    void dropStaleStates();
+    void addChange(EngineState &state, double tokens);
+    double memoryOf(const EngineState &state) const;
+    Duration delayOf(const EngineState &state) const;
     Duration readingTime(std::uint32_t tokens) const;
-    void addPrompt(Board &board, std::uint32_t tokens);
-    // What a choice goes by besides the engines' load.
+    void addPrompt(EngineState &state, std::uint32_t tokens);
+    // Criteria of a choice besides the engines' load.
     struct Preference
     {
-        std::string_view dataCentre; // where the request or the run comes from
+        std::string_view dataCentre; // origin of the request or the run
         double remotePenalty = 0;
         std::size_t candidates = 0;
-        double mostMemory =
-                0; // an engine whose memory would be taken beyond this part is not taken
-        Duration maxDelay = Duration::max(); // nor one that would have read the prompt later
-        double blur = 0;
+        double maxMemory = 0; // engines whose used memory would exceed this part are rejected
+        Duration maxDelay =
+                Duration::max(); // engines that would read the prompt later are rejected
+        double jitter = 0;
         double delayWeight = 1;
     };
 
-    const TargetEntry *cheapest(std::vector<const TargetEntry *> open, const EngineTraits &traits,
-                                const GenerationNeed &need, const Preference &preference);
-    double memoryWith(const Board &board, const EngineTraits &traits,
+    const TargetEntry *cheapest(std::vector<const TargetEntry *> eligible,
+                                const EngineTraits &traits, const GenerationNeed &need,
+                                const Preference &preference);
+    double memoryWith(const EngineState &state, const EngineTraits &traits,
                       const GenerationNeed &need) const;
     bool isShort(const GenerationNeed &need) const
     {
@@ -249,16 +261,16 @@
     }
     double costOf(const TargetEntry &entry, const EngineTraits &traits, const GenerationNeed &need,
                   const Preference &preference);
-    bool avoided(const TargetEntry &entry);
-    std::vector<const TargetEntry *> openAmong(std::span<const TargetEntry *const> engines,
-                                               const std::set<std::string> &avoid);
+    bool isAvoided(const TargetEntry &entry);
+    std::vector<const TargetEntry *> eligibleAmong(std::span<const TargetEntry *const> engines,
+                                                   const std::set<std::string> &avoid);
 
     const Clock &clock;
     std::mt19937_64 random;
     std::string home;
     EngineChoiceOptions options;
-    double readingSpeed; // prompt tokens in a millisecond, as learnt
-    std::map<std::string, Board, std::less<>> boards;
+    double readingSpeed; // learnt, in prompt tokens per millisecond
+    std::map<std::string, EngineState, std::less<>> states;
     std::vector<Departure> departures;
     Shortage shortage;
 };
--- a/include/jaytrack/Routing/engineshares.h
+++ b/include/jaytrack/Routing/engineshares.h
@@ -1,10 +1,11 @@
-// Which instances give work to which engines.
+// Assigns engines to the instances that place work there.
 //
-// Load that it answers: each placement, release and report at an engine is told to every instance
-// that may place there. If all may place everywhere, each of 302 instances before 3,001 engines
-// hears of ten thousand a second and spends a core on it. Beyond some hundred engines an instance
-// places no better for knowing more of them, so each gives work to a share of them only, and each
-// engine gets it from a few instances, which alone hear of it.
+// Each placement, release and load report of an engine is sent to every instance that may place
+// work there. If all instances used all engines, each of 302 instances with 3,001 engines would
+// receive ten thousand notices per second and spend a CPU core on them. Beyond some hundred engines
+// an instance does not place better by knowing more of them. Therefore each instance uses only a
+// share of the engines, and each engine is used by a few instances, which alone receive its
+// notices.
 #ifndef JAYTRACK_ROUTING_ENGINESHARES_H
 #define JAYTRACK_ROUTING_ENGINESHARES_H
 
@@ -21,44 +22,44 @@
 
 struct EngineSharesOptions
 {
-    // Up to so many engines every instance gives work to all, and beyond at least to so many. A new
-    // run compares six; a run whose engine leaves looks for room in its own data centre, of which
-    // there are up to seven.
-    std::size_t leastEngines = 96;
+    // Up to this number of engines every instance uses all of them; beyond it every instance uses
+    // at least this many. A new run compares six engines, and a run whose engine leaves looks for
+    // memory in its own data centre, of which there are up to seven.
+    std::size_t minEngines = 96;
 };
 
 class EngineShares
 {
 public:
-    explicit EngineShares(std::string ownName, EngineSharesOptions given = {});
+    explicit EngineShares(std::string ownName, EngineSharesOptions initialOptions = {});
 
-    // The names of the other instances that are up.
+    // Sets the names of the other instances that are up.
     void setInstances(std::span<const std::string> names);
 
     void onListed(std::string_view engine);
     void onRemoved(std::string_view engine);
 
-    // Whether every instance gives work to every engine.
-    bool usesAllEngines() const { return this->sharers >= this->ranking.count(); }
+    // Returns whether every instance places work at every engine.
+    bool usesAllEngines() const { return this->assignees >= this->ranking.count(); }
 
-    // Whether this instance gives work to the engine.
+    // Returns whether this instance places work at the engine.
     bool isAssigned(std::string_view engine) const;
 
-    // Whether it falls to this instance to ask the engine for its load. Asking has a price at the
-    // engine, so one instance asks for all: the one whose hash with the engine is highest. When one
-    // goes, only its engines get another.
+    // Returns whether this instance polls the engine's load. Each query costs the engine some work,
+    // so only the instance whose hash with the engine is highest polls and informs the others. When
+    // an instance leaves, only its own engines are reassigned.
     bool shouldPollLoad(std::string_view engine) const;
 
-    // The names of the other instances that give work to the engine.
+    // Returns the names of the other instances that place work at the engine.
     std::vector<std::string> otherAssignees(std::string_view engine) const;
 
 private:
-    void countSharers();
+    void updateAssigneeCount();
 
     EngineSharesOptions options;
     InstanceRanking ranking;
     std::set<std::string, std::less<>> engines;
-    std::size_t sharers = 1; // of each engine
+    std::size_t assignees = 1; // instances assigned to each engine
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Routing/instanceranking.h
+++ b/include/jaytrack/Routing/instanceranking.h
@@ -1,5 +1,5 @@
-// An order of the instances for each key, by which they share out targets without talking about it:
-// all that know the same instances find the same order.
+// Ranks the instances for each key by rendezvous hashing. Instances divide targets among themselves
+// by rank without communication: all that know the same instances compute the same order.
 #ifndef JAYTRACK_ROUTING_INSTANCERANKING_H
 #define JAYTRACK_ROUTING_INSTANCERANKING_H
 
@@ -18,19 +18,19 @@
 public:
     explicit InstanceRanking(std::string ownName);
 
-    // The names of the other instances. When one goes, only its places are taken by others.
+    // Sets the names of the other instances. When one leaves, only its ranks pass to others.
     void setOthers(std::span<const std::string> names);
 
-    // How many there are, this one among them.
+    // Returns the number of instances including this one.
     std::size_t count() const { return this->instances.size(); }
 
     const std::string &ownName() const { return this->instances.front().name; }
 
-    // This instance's place among all for the key; the first one is 0.
+    // Returns this instance's rank for the key; the highest rank is 0.
     std::size_t ownRank(std::string_view key) const;
 
-    // The names of the first instances for the key, at most so many.
-    std::vector<std::string> first(std::string_view key, std::size_t most) const;
+    // Returns the names of the highest-ranked instances for the key, at most this many.
+    std::vector<std::string> first(std::string_view key, std::size_t maxCount) const;
 
 private:
     struct Instance
@@ -39,8 +39,8 @@
         std::string name;
     };
 
-    std::vector<Instance> instances;                             // this one first
-    mutable std::unordered_map<std::string, std::size_t> places; // as found so far
+    std::vector<Instance> instances;                                  // this one first
+    mutable std::unordered_map<std::string, std::size_t> cachedRanks; // by key
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Routing/knownfleet.h
+++ b/include/jaytrack/Routing/knownfleet.h
@@ -1,8 +1,8 @@
-// The instances that an instance knows of: those that are up, and for a while those that are not.
+// Tracks the other instances: those that are up and, for a while, those that are not.
 //
-// Load that it answers: a fleet that is split. Each part takes the other for gone while both serve,
-// so whatever is shared out among the instances that are up is given out twice. One that is no
-// longer up is counted on until it has been gone for longer than partitions last.
+// During a network partition each side considers the other one gone while both keep serving, so
+// whatever is divided among the instances that are up would be handed out twice. An instance that
+// is no longer up therefore still counts until it has been gone for longer than partitions last.
 #ifndef JAYTRACK_ROUTING_KNOWNFLEET_H
 #define JAYTRACK_ROUTING_KNOWNFLEET_H
 
@@ -20,49 +20,47 @@
 
 struct KnownFleetOptions
 {
-    // Longer than regions lose each other.
-    Duration remembered = std::chrono::hours(2);
+    // Longer than a loss of connection between regions lasts.
+    Duration retention = std::chrono::hours(2);
 
-    // An instance that is gone for less than this and comes back counts as never gone: news of
-    // members are late, and overtake each other.
+    // An instance that returns within this time is treated as if it had been up throughout, because
+    // membership updates are delayed and may arrive out of order.
     Duration absence = std::chrono::seconds(2);
 };
 
 class KnownFleet
 {
 public:
-    // What is known of another instance.
+    // State of another instance.
     struct Instance
     {
         TimePoint upSince;
-        std::optional<TimePoint> goneSince; // nothing while it is up
+        std::optional<TimePoint> goneSince; // empty while it is up
     };
     using Instances = std::map<std::string, Instance, std::less<>>;
 
-    explicit KnownFleet(const Clock &time, KnownFleetOptions given = {})
+    explicit KnownFleet(const Clock &time, KnownFleetOptions initialOptions = {})
         : clock(time)
-        , options(given)
+        , options(initialOptions)
     {
     }
 
-    // The names of the other instances that are up.
+    // Sets the names of the other instances that are up.
     void setInstances(std::span<const std::string> others);
 
-    // All others that are counted on.
+    // Returns all other instances that still count.
     const Instances &instances() const { return this->known; }
 
-    // Their names.
     std::vector<std::string> names() const;
 
-    // How many of them are up.
     std::size_t countUp() const;
 
     bool isUp(std::string_view name) const;
 
-    // When an instance that is gone now will count as gone.
-    TimePoint absenceDeadline(const Instance &gone) const
+    // Returns when an instance that is down now will be treated as absent.
+    TimePoint absenceDeadline(const Instance &instance) const
     {
-        return gone.goneSince.value_or(TimePoint::max() - this->options.absence) +
+        return instance.goneSince.value_or(TimePoint::max() - this->options.absence) +
                this->options.absence;
     }
 
--- a/include/jaytrack/Routing/retrybudget.h
+++ b/include/jaytrack/Routing/retrybudget.h
@@ -1,5 +1,6 @@
-// How often an instance may send a request to a further target. All instances draw on one bound of
-// the operators, which they cannot count together, so each keeps to a share that holds in sum.
+// Limits how often an instance retries requests at a further target. All instances share one bound
+// set by the operators, which they cannot count together, so each instance keeps to a share such
+// that the sum stays within the bound.
 #ifndef JAYTRACK_ROUTING_RETRYBUDGET_H
 #define JAYTRACK_ROUTING_RETRYBUDGET_H
 
@@ -13,8 +14,8 @@
 
 namespace jaytrack {
 
-// The operators' bound: in any window, repeats to a service stay within ratio x requests + slack,
-// over all instances.
+// The operators' bound: in any window, retries to a service stay within ratio x requests + slack,
+// summed over all instances.
 struct RetryBound
 {
     double ratio = 0.1;
@@ -25,47 +26,47 @@
 class RetryBudget
 {
 public:
-    // What one window earned may be saved up and be spent in the next one beside what that earns,
-    // so each earns half of the ratio.
-    static constexpr double usedPart = 0.5;
+    // The budget earned in one window may be saved and spent in the next one in addition to what
+    // that window earns, so each window earns only half of the ratio.
+    static constexpr double usableRatioPart = 0.5;
 
-    // The part of the slack that all instances together may spend out of nothing. An instance that
-    // starts again has forgotten what it spent, and a fleet may lose its power and start twice
-    // within one window; a fleet that is split in two halves shares each its own count.
-    static constexpr double freePart = 0.4;
+    // The part of the slack that all instances together may spend without having earned it. An
+    // instance that restarts has lost its count, a fleet may lose power and start twice within one
+    // window, and in a fleet that is split into two halves each half counts separately.
+    static constexpr double unearnedSlackPart = 0.4;
 
-    // Repeats that one instance may send out of nothing, where few share the slack: enough for a
-    // request that meets two broken targets.
-    static constexpr double mostFree = 2;
+    // Retries that one instance may send without having earned them, when few instances share the
+    // slack. Two are enough for a request that meets two broken targets.
+    static constexpr double maxUnearned = 2;
 
-    RetryBudget(const Clock &time, RetryBound given)
+    RetryBudget(const Clock &time, RetryBound retryBound)
         : clock(time)
-        , bound(given)
+        , bound(retryBound)
     {
     }
 
-    // How many instances share the bound, this one among them.
+    // Sets the number of instances that share the bound, including this one.
     void setInstances(std::size_t count) { this->instances = std::max<std::size_t>(1, count); }
 
-    // A caller's request for a service arrived.
+    // Records the arrival of a caller's request for a service.
     void earn(std::string_view service);
 
-    // Takes one repeat to the service if the share has one left.
+    // Takes one retry to the service from the budget; returns whether one was available.
     bool take(std::string_view service);
 
 private:
     struct Account
     {
         double tokens = 0;
-        bool freeGranted = false;
+        bool unearnedGranted = false;
         TimePoint windowStart{};
         double earnedInWindow = 0;
-        double earnedBefore = 0; // in the window before
+        double earnedBefore = 0; // in the previous window
     };
 
     Account &accountOf(std::string_view service);
-    double freeShare() const;
-    double mostTokens(const Account &account) const;
+    double unearnedShare() const;
+    double maxTokens(const Account &account) const;
 
     const Clock &clock;
     RetryBound bound;
--- a/include/jaytrack/Routing/routingtable.h
+++ b/include/jaytrack/Routing/routingtable.h
@@ -1,6 +1,6 @@
-// The operators' rules as an entry instance applies them: which requests exist, whom they belong
-// to, where they may run and what may be repeated. Immutable once built, so that a request is
-// decided under one version from its arrival to its end.
+// The operators' rules as an instance applies them: which requests are accepted, to which customer
+// they belong, in which regions they may run and which of them may be repeated. A table is
+// immutable once built, so that a request is handled under one version from arrival to completion.
 #ifndef JAYTRACK_ROUTING_ROUTINGTABLE_H
 #define JAYTRACK_ROUTING_ROUTINGTABLE_H
 
@@ -14,38 +14,39 @@
 
 namespace jaytrack {
 
-// What may be done again with a request. Only Idempotent and ResumableStream may run twice.
+// Whether a request may be repeated. Only Idempotent and ResumableStream requests may run twice.
 enum class RequestKind { Idempotent, Once, OnceStream, ResumableStream };
 
 bool isStream(RequestKind kind);
 bool mayRunAgain(RequestKind kind);
 
-// The word for a kind in logs and metrics.
+// Returns the name of a kind in logs and metrics.
 std::string_view kindName(RequestKind kind);
 
-// Regions to which requests may go; empty for all. Where several rules name some, all of them bind.
+// Regions to which requests may go; empty for all. If several rules restrict the regions, all of
+// the restrictions apply.
 using AllowedRegions = std::vector<std::string>;
 
-// A region that is not known is in none of those that are named.
+// Returns whether the region is allowed. An unknown region is allowed only by an unrestricted list.
 bool allowsRegion(const AllowedRegions &regions, std::string_view region);
 
-// A share of a route's requests that goes to one service.
+// A service that receives a share of a route's requests.
 struct ServiceShare
 {
     std::string service;
     std::uint32_t weight = 1;
 };
 
-// One rule that admits requests.
+// A rule that admits requests.
 struct RouteRule
 {
     std::string name;
     std::string host;
     std::string prefix;
     RequestKind kind = RequestKind::Once;
-    std::chrono::milliseconds timeout{0};   // longest time to keep a caller waiting; 0 is unbounded
-    std::chrono::milliseconds objective{0}; // an answer within it earns its full worth
-    std::chrono::milliseconds longestPause{0}; // between two events of a stream
+    std::chrono::milliseconds timeout{0};      // maximum time that a caller waits; 0 is unbounded
+    std::chrono::milliseconds objective{0};    // an answer within it has its full value
+    std::chrono::milliseconds longestPause{0}; // maximum time between two events of a stream
     int priority = 0;                          // 0 is the most urgent
     int maxAttempts = 1;
     bool needsKey = true;
@@ -53,7 +54,7 @@
     AllowedRegions regions;
 };
 
-// What a model engine offers beyond a plain service.
+// Properties that a model engine has in addition to those of a plain service.
 struct EngineTraits
 {
     int slots = 0;
@@ -63,27 +64,27 @@
     std::uint32_t tokensPerEvent = 1;
     bool movesRuns = false;
     bool keepsBackups = false;
-    std::chrono::milliseconds handleLife{0}; // how long a copy waits at its destination
+    std::chrono::milliseconds handleLife{0}; // how long the destination keeps an unused copy
 };
 
-// What a target that has just started, or fell back to that, bears.
+// The load that a target accepts after it has started or has become cold again.
 struct ColdTraits
 {
-    double requestsPerSecond = 0; // from all instances together; 0 is unbounded
+    double requestsPerSecond = 0; // summed over all instances; 0 is unbounded
     std::chrono::milliseconds lasts{0};
 };
 
-// The targets that do one kind of work.
+// A service: a group of targets that do the same work.
 struct ServiceRule
 {
     std::string name;
     std::string healthPath;
-    int maxConnections = 0; // at each target, from all callers together; 0 is unbounded
+    int maxConnections = 0; // at each target, summed over all callers; 0 is unbounded
     ColdTraits cold;
     std::optional<EngineTraits> engine;
 };
 
-// Bounds on what a caller may send.
+// Limits on the requests of a caller.
 struct CallerLimits
 {
     std::size_t headerBytes = 16384;
@@ -96,7 +97,7 @@
 struct KeyHolder
 {
     std::string customer;
-    std::optional<int> priority; // goes before the route's
+    std::optional<int> priority; // overrides the priority of the route
     AllowedRegions regions = {};
 };
 
@@ -110,15 +111,16 @@
     bool hasCustomers = false;
     std::unordered_map<std::string, KeyHolder> holders; // by key
 
-    // The rule with the longest prefix that begins the path, among those of the host; null if none.
+    // Returns the rule of the host with the longest prefix that matches the path; null if there is
+    // none.
     const RouteRule *match(std::string_view host, std::string_view path) const;
 
-    // The holder of a key; null if no customer holds it.
+    // Returns the customer that holds the key; null if there is none.
     const KeyHolder *holderOf(std::string_view key) const;
 
     const ServiceRule *serviceNamed(std::string_view name) const;
 
-    // The service for a request, drawn by weight with a number in [0, 1).
+    // Selects the service for a request by weight; draw is a random number in [0, 1).
     static const std::string &pickService(const RouteRule &route, double draw);
 };
 
--- a/include/jaytrack/Routing/runplan.h
+++ b/include/jaytrack/Routing/runplan.h
@@ -1,11 +1,12 @@
-// The life of one generation across engines: where it runs, where a copy of its memory lies, and
-// what is to be done when an engine leaves or is lost.
+// Plans how one generation continues across engines: where it runs, where a copy of its memory is,
+// and what to do when an engine leaves or is lost.
 //
-// Load that it answers: engines that live for some twenty seconds and leave on two seconds' notice
-// under generations that take ten. A generation that may run once is lost with its engine unless
-// its memory lies elsewhere by then. It is copied on notice, once, while the engine works on; what
-// it makes meanwhile is a few tokens that the next engine reads anew. Copies ahead of time would
-// take the memory of as many other runs.
+// Engines run for some twenty seconds and announce two seconds in advance that they leave, while
+// generations take ten seconds. A generation that may run only once is lost with its engine unless
+// its memory has been copied elsewhere by then. It is copied once, when the engine announces that
+// it leaves, while the engine continues to generate. The few tokens that the engine produces in the
+// meantime are read again by the next engine. Copying earlier would occupy the memory of as many
+// other runs.
 #ifndef JAYTRACK_ROUTING_RUNPLAN_H
 #define JAYTRACK_ROUTING_RUNPLAN_H
 
@@ -20,25 +21,26 @@
 
 struct RunPlanOptions
 {
-    bool movesRuns = false; // engines copy a run when told to
+    bool movesRuns = false; // engines copy a run on request
     bool mayRunAgain = false;
-    // A copy is dropped by its engine when it is not used within this time.
+    // An engine drops a copy that is not used within this time.
     Duration copyLife = std::chrono::seconds(5);
-    // Pause before the first copy of a departure, drawn by the caller. All instances learn of a
-    // leaving in the same millisecond; spread out, each knows by the others' notices which room is
-    // taken.
+    // Delay before the first copy after an engine announces that it leaves; the caller draws it at
+    // random. All instances learn of the announcement in the same millisecond. With random delays,
+    // each knows from the notices of the others which memory is already taken.
     Duration firstPause{0};
-    // Copies that one departure may try. A refusal costs a round trip and comes from a full engine.
-    int mostCopyTries = 12;
-    // Pause after a refusal. Engines that are full now have room some tenths of a second later, and
-    // a departure leaves a second and a half.
+    // Maximum copy attempts per leaving engine. A refusal costs one round trip and comes from a
+    // full engine.
+    int maxCopyAttempts = 12;
+    // Delay after a refusal. Engines that are full have memory again some tenths of a second later,
+    // and a leaving engine leaves about a second and a half for copies.
     Duration retryPause = std::chrono::milliseconds(80);
 };
 
 enum class RunStepKind {
-    Wait,     // nothing to do now
-    MakeCopy, // have the engine copy the run to another one
-    Resume,   // go on at the engine that holds the copy
+    Wait,     // no action required now
+    MakeCopy, // request the engine to copy the run to another one
+    Resume,   // continue at the engine that holds the copy
     StartAnew,
     Lost
 };
@@ -46,43 +48,43 @@
 struct RunStep
 {
     RunStepKind kind = RunStepKind::Wait;
-    std::string target; // for Resume, the id of the engine that holds the copy
+    std::string target; // for Resume: the id of the engine that holds the copy
     ResumePoint from;   // for Resume
 };
 
 class RunPlan
 {
 public:
-    RunPlan(const Clock &time, RunPlanOptions given)
+    RunPlan(const Clock &time, RunPlanOptions initialOptions)
         : clock(time)
-        , options(given)
+        , options(initialOptions)
     {
     }
 
-    // The run takes place at an engine.
+    // Records that the run was placed at an engine.
     void placed(std::string_view engine);
 
     void eventProduced() { this->anyEvent = true; }
 
-    // An ordered copy is under way, was made, or failed.
+    // Record that a requested copy was started, completed or failed.
     void copyStarted();
     void copyMade(std::string_view at, ResumePoint point);
     void copyFailed(std::string_view at);
 
-    // The engine that holds the copy does not have it, or refuses.
+    // Records that the engine does not have the copy or refuses to use it.
     void copyRefused();
 
-    // An engine is leaving; said again for the same engine it changes nothing.
+    // Records that an engine is leaving. Repeated calls for the same engine have no effect.
     void engineLeaving(std::string_view id);
     void engineLost();
 
-    // What to do now. Called after each of the above and from time to time.
+    // Returns the action to take now. Called after each of the above events and periodically.
     RunStep next() const;
 
-    // The engine that holds the copy; empty for none.
+    // Returns the engine that holds the copy; empty if there is none.
     std::string_view copyHolder() const;
 
-    // Engines that proved unable to take the run.
+    // Returns the engines that refused or failed to take the run.
     const std::set<std::string> &unsuitableEngines() const { return this->refused; }
 
     bool isLeaving() const { return this->leaving; }
@@ -106,8 +108,8 @@
     bool leaving = false;
     bool lost = false;
     bool copying = false;
-    int copyTries = 0;
-    TimePoint copyTryAt;
+    int copyAttempts = 0;
+    TimePoint nextCopyAt;
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Routing/targetdirectory.h
+++ b/include/jaytrack/Routing/targetdirectory.h
@@ -1,4 +1,4 @@
-// The targets that the platform lists, and which of them may be given new work.
+// The targets that the platform lists, and which of them may receive new work.
 #ifndef JAYTRACK_ROUTING_TARGETDIRECTORY_H
 #define JAYTRACK_ROUTING_TARGETDIRECTORY_H
 
@@ -18,33 +18,35 @@
 
 namespace jaytrack {
 
-// When one life of a target began, as the target itself tells it, in Unix milliseconds. It is only
-// ever compared with what was told under the same name, so the clocks of others play no part.
+// The start time of one incarnation of a target in Unix milliseconds, as reported by the target. It
+// is compared only with other values reported under the same name, so clock differences between
+// machines do not matter.
 using StartTime = std::chrono::milliseconds;
 
-// The value of a target that does not tell when it started.
+// The start time of a target that does not report one.
 constexpr StartTime unknownStart{0};
 
-// One life of a target as the platform lists it.
+// One incarnation of a target as listed by the platform.
 struct TargetEntry
 {
-    // Names this life: what is believed of a target ends with it. Made by incarnationId().
+    // Identifies this incarnation; all that is known of a target is discarded when its incarnation
+    // ends. Made by incarnationId().
     std::string id;
-    std::string name; // under which the platform lists it; a target may start again under it
+    std::string name; // the name in the listing; a target may restart under the same name
     StartTime startedAt = unknownStart;
     std::string service;
     std::string address; // IP:PORT
     std::string dataCentre;
     int slots = 0;
     bool leaving = false;
-    std::chrono::milliseconds coldFor{0}; // until it bears as much as usual
+    std::chrono::milliseconds coldFor{0}; // until it accepts its usual load
 };
 
-// The identity of one life of a target. Where targets do not tell their start, each has a new name
-// at each start and the name alone is the identity.
+// Returns the id of one incarnation of a target. Targets that do not report a start time have a new
+// name at each start, so the name alone identifies the incarnation.
 std::string incarnationId(std::string_view name, StartTime startedAt);
 
-// One item of the platform's store that changed or was read.
+// An item of the platform's store that was changed or read.
 struct StoreItem
 {
     std::string key;
@@ -54,7 +56,7 @@
     bool unreadable = false; // the value is not in the store's encoding
 };
 
-// Told when a target may no longer be given work.
+// Receives changes of the targets' state.
 class TargetDirectoryListener
 {
 public:
@@ -62,25 +64,26 @@
     virtual void onTargetLeaving(const TargetEntry &entry, std::string_view reason) = 0;
     virtual void onTargetListed(const TargetEntry &entry) = 0;
 
-    // The target started again under its name. This life is over: nothing that was sent to it, read
-    // there or copied there exists any more.
+    // The target restarted under the same name. The given incarnation has ended: requests sent to
+    // it, prompts read there and copies held there no longer exist.
     virtual void onTargetRestarted(const TargetEntry &ended) = 0;
 
-    // The target says that it is cold.
+    // The target reports that it is cold.
     virtual void onTargetCold(const TargetEntry &entry) = 0;
 
-    // The operators put a data centre out of use, or back.
+    // The operators put a data centre out of use or back.
     virtual void onDataCentreUse(std::string_view dataCentre, bool outOfUse) = 0;
 };
 
-// Everything that the platform lists at one moment.
+// All targets that the platform lists at one moment.
 struct TargetListing
 {
     std::vector<TargetEntry> entries;
-    std::vector<std::string> unusable; // names whose entries name no target
+    std::vector<std::string> unusable; // names whose entries do not describe a target
 };
 
-// What the platform's list says now, and how entries that vanish during an outage are treated.
+// The current list of targets. Entries that disappear during an outage of the store are kept for a
+// grace period.
 class TargetDirectory
 {
 public:
@@ -89,43 +92,45 @@
     {
     }
 
-    // Takes a whole listing, read page by page. Entries that it lacks are gone, unless it was read
-    // during the grace after an outage, when targets that live are still coming back.
+    // Applies a complete listing, read page by page. Targets that it lacks are removed, unless it
+    // was read during the grace period after an outage, when live targets are still being listed
+    // again.
     void replaceAll(TargetListing listing, bool keepMissing);
 
-    // Takes one change. An entry of an earlier life than one that was listed or told of under the
-    // same name changes nothing, however late it is read.
+    // Applies one change. An entry of an earlier incarnation than one already listed or reported
+    // under the same name is ignored, however late it is read.
     void put(TargetEntry entry);
     void remove(std::string_view name, bool keepMissing);
 
-    // The entry under the name was overwritten by something that names no target. Until a good one
-    // is listed the target is given no new work; what it has is left to it, since nobody said that
-    // it leaves.
+    // Handles an entry that was overwritten with something that does not describe a target. The
+    // target receives no new work until a valid entry is listed; its current work continues,
+    // because nothing says that the target is leaving.
     void suspend(std::string_view name);
 
-    // Takes a target's own word that it is leaving before the platform lists it so, or lists it at
-    // all. Returns whether it is news.
+    // Records a target's own announcement that it is leaving, which may come before the platform
+    // lists it as leaving or lists it at all. Returns whether this was unknown.
     bool markLeaving(std::string_view id, std::string_view reason);
 
-    // Takes a target's own word of when it started. If this life is over, it is ended here; the new
-    // one gets work once the platform lists it.
+    // Records the start time that a target reports. If the known incarnation has ended, it is
+    // removed here; the new one receives work once the platform lists it.
     void updateStartTime(std::string_view id, StartTime startedAt);
 
-    // Ends the grace after an outage: what has not come back is gone, and a data centre that was
-    // not put out of use again is back.
+    // Ends the grace period after an outage: targets that have not been listed again are removed,
+    // and data centres that were not put out of use again are back in use.
     void dropMissing();
 
-    // Takes one change of what the operators say of a data centre, or all that they say now.
+    // Apply one change of the operators' setting for a data centre, or all current settings.
     void updateDataCentre(const DataCentreRecord &record);
     void replaceDataCentres(std::span<const DataCentreRecord> records, bool keepMissing);
 
-    // The store came back from an older copy, whose revisions are given out again.
+    // Forgets the revisions, because the store was restored from an older copy and assigns revision
+    // numbers again.
     void forgetDataCentreRevisions() { this->dataCentres.forgetRevisions(); }
 
-    // The targets of a service that may be given new work.
+    // Returns the targets of a service that may receive new work.
     std::vector<const TargetEntry *> usable(std::string_view service) const;
 
-    // The targets of a data centre that were not said to leave.
+    // Returns the targets of a data centre that are not known to be leaving.
     std::vector<TargetEntry> nonLeavingTargets(std::string_view dataCentre) const;
 
     bool isOutOfUse(std::string_view dataCentre) const
@@ -133,10 +138,11 @@
         return this->dataCentres.isOutOfUse(dataCentre);
     }
 
-    // Whether the service has targets that would get work if their data centres were in use.
+    // Returns whether the service has targets that would receive work if their data centres were in
+    // use.
     bool hasTargetsOutOfUse(std::string_view service) const;
 
-    // The life with this id, if it is still listed.
+    // Returns the incarnation with this id; null if it is no longer listed.
     const TargetEntry *find(std::string_view id) const;
     std::size_t size() const { return this->entries.size(); }
 
@@ -144,31 +150,33 @@
     struct Row
     {
         TargetEntry entry;
-        bool missing = false; // vanished while the store was away; still used until the grace ends
-        bool suspended = false; // its entry was overwritten by something unusable
+        bool missing = false;   // disappeared during an outage of the store; used until the grace
+                                // period ends
+        bool suspended = false; // its entry was overwritten with an invalid one
     };
     using Rows = std::map<std::string, Row, std::less<>>; // by name
 
-    void tellOfUse(std::span<const std::string> changed);
+    void notifyUseChanges(std::span<const std::string> changed);
     void add(TargetEntry entry);
-    void tellIfCold(const TargetEntry &entry);
-    void leave(Rows::iterator row, std::string_view reason);
-    void endLife(Rows::iterator row);
+    void notifyIfCold(const TargetEntry &entry);
+    void removeRow(Rows::iterator row, std::string_view reason);
+    void endIncarnation(Rows::iterator row);
     Rows::const_iterator rowOf(std::string_view id) const;
     bool isOutdated(const TargetEntry &entry) const;
-    void noteStart(const std::string &name, StartTime startedAt);
-    void noteLeft(const std::string &id);
+    void recordStart(const std::string &name, StartTime startedAt);
+    void recordLeft(const std::string &id);
 
     TargetDirectoryListener &listener;
     Rows entries;
     DataCentreUse dataCentres;
-    // The latest start that was told under each name. It outlives the listing, so that an entry of
-    // an ended life that is read late does not bring it back.
+    // The latest start time reported under each name. It is kept after the target is removed from
+    // the list, so that an entry of an ended incarnation that is read late is not listed again.
     std::map<std::string, StartTime, std::less<>> latestStarts;
-    // Lives that leave or have left. They outlive the listing too: an entry that lapsed while the
-    // store was away may come back as it was before the target said so.
-    std::set<std::string, std::less<>> leftLives;
-    std::deque<std::string> leftOrder; // the same, oldest first
+    // Incarnations that are leaving or have left. They are kept after removal from the list: an
+    // entry that expired during an outage of the store may return as it was before the target
+    // announced that it is leaving.
+    std::set<std::string, std::less<>> leftIncarnations;
+    std::deque<std::string> leftOrder; // the same ids, oldest first
 };
 
 } // namespace jaytrack
--- a/lib/Routing/admission.cpp
+++ b/lib/Routing/admission.cpp
@@ -12,23 +12,23 @@
     return {current ? code : ResultCode::ConfigurationStale, nullptr, nullptr};
 }
 
-// How long the request may take by its route and its caller.
-Duration mayTake(const RouteRule &route, const RequestFacts &facts)
+// Returns how long the request may take according to its route and its caller.
+Duration maxRequestTime(const RouteRule &route, const RequestFacts &facts)
 {
-    Duration longest = Duration::max();
+    Duration limit = Duration::max();
     if (route.timeout.count() > 0)
-        longest = route.timeout;
-    return facts.timeLeft ? std::min<Duration>(longest, *facts.timeLeft) : longest;
+        limit = route.timeout;
+    return facts.timeLeft ? std::min<Duration>(limit, *facts.timeLeft) : limit;
 }
 
-// A stream may outlive the grace of a graceful shutdown, which would cut it, and so may any request
-// that comes late in it. Its caller is better served by coming back at once to an instance that
-// stays.
+// A stream may last longer than the grace period of a graceful shutdown, which would cut it, and so
+// may any request that arrives late in that period. Its caller is better served by retrying at once
+// at an instance that is not stopping.
 bool mayOutliveInstance(const AdmissionInputs &inputs, const RouteRule &route)
 {
     if (!inputs.endsIn)
         return false;
-    return isStream(route.kind) || mayTake(route, *inputs.facts) > *inputs.endsIn;
+    return isStream(route.kind) || maxRequestTime(route, *inputs.facts) > *inputs.endsIn;
 }
 
 } // namespace
--- a/lib/Routing/coldtargets.cpp
+++ b/lib/Routing/coldtargets.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// Told again within this, a target's coldness is no news: each beat tells it anew.
-constexpr std::chrono::milliseconds newsFrom{200};
+// A cold period that grows by less than this is not reported as new, because each heartbeat of a
+// cold target reports the remaining time again.
+constexpr std::chrono::milliseconds minExtension{200};
 
 } // namespace
 
-ColdTargets::ColdTargets(const Clock &time, std::string ownName, ColdBound given,
-                         bool expectsOthers, ColdTargetOptions chosen)
+ColdTargets::ColdTargets(const Clock &time, std::string ownName, ColdBound coldBound,
+                         bool expectsOthers, ColdTargetOptions initialOptions)
     : clock(time)
-    , bound(given)
+    , bound(coldBound)
     , othersExpected(expectsOthers)
-    , options(chosen)
+    , options(initialOptions)
     , startedAt(time.now())
     , fleet(time)
     , ranking(std::move(ownName))
@@ -38,16 +39,16 @@
                   [oldest](const auto &entry) { return entry.second.coldUntil < oldest; });
 }
 
-bool ColdTargets::recordCold(std::string_view target, Duration left)
+bool ColdTargets::recordCold(std::string_view target, Duration remaining)
 {
-    if (left <= Duration(0))
+    if (remaining <= Duration(0))
         return false;
     this->dropWarm();
     Account &account = this->accounts[std::string(target)];
-    const TimePoint until = this->clock.now() + left;
-    const bool news = until > account.coldUntil + newsFrom;
+    const TimePoint until = this->clock.now() + remaining;
+    const bool isExtended = until > account.coldUntil + minExtension;
     account.coldUntil = std::max(account.coldUntil, until);
-    return news;
+    return isExtended;
 }
 
 Duration ColdTargets::coldFor(std::string_view target) const
@@ -66,11 +67,11 @@
 
 std::size_t ColdTargets::allowance(std::string_view target, double ownRate) const
 {
-    const double most = ownRate * this->bound.overage + this->bound.extra;
-    const double used = std::min(ownRate, most * this->options.usedPart);
-    const auto all = static_cast<std::size_t>(std::max(1.0, std::floor(used)));
-    const std::size_t senders = std::min(all, this->ranking.count());
-    return this->ranking.ownRank(target) < senders ? all / senders : 0;
+    const double maxRate = ownRate * this->bound.overage + this->bound.extra;
+    const double usableRate = std::min(ownRate, maxRate * this->options.usablePart);
+    const auto total = static_cast<std::size_t>(std::max(1.0, std::floor(usableRate)));
+    const std::size_t senders = std::min(total, this->ranking.count());
+    return this->ranking.ownRank(target) < senders ? total / senders : 0;
 }
 
 Duration ColdTargets::wait(std::string_view target, double ownRate) const
@@ -79,7 +80,7 @@
     if (cold == Duration(0) || ownRate <= 0)
         return Duration(0);
     if (!this->knowsFleet())
-        return std::min(cold, this->options.lookAgain);
+        return std::min(cold, this->options.recheckInterval);
     const std::size_t allowed = this->allowance(target, ownRate);
     if (allowed == 0)
         return cold;
--- a/lib/Routing/datacentreuse.cpp
+++ b/lib/Routing/datacentreuse.cpp
@@ -4,7 +4,7 @@
 
 namespace jaytrack {
 
-bool DataCentreUse::take(const DataCentreRecord &record)
+bool DataCentreUse::apply(const DataCentreRecord &record)
 {
     State &state = this->states[record.dataCentre];
     if (record.revision < state.revision)
@@ -14,14 +14,14 @@
     return changes;
 }
 
-std::vector<std::string> DataCentreUse::takeAll(std::span<const DataCentreRecord> records,
-                                                bool keepMissing)
+std::vector<std::string> DataCentreUse::applyAll(std::span<const DataCentreRecord> records,
+                                                 bool keepMissing)
 {
     std::vector<std::string> changed;
-    // What the listing says is newer than all that was known of those in use.
+    // The listing is newer than all that is known about data centres in use.
     std::erase_if(this->states, [](const auto &entry) { return !entry.second.outOfUse; });
     for (const DataCentreRecord &record : records) {
-        if (this->take(record))
+        if (this->apply(record))
             changed.push_back(record.dataCentre);
     }
     std::set<std::string_view> listed;
--- a/lib/Routing/engineshares.cpp
+++ b/lib/Routing/engineshares.cpp
@@ -6,8 +6,8 @@
 
 namespace jaytrack {
 
-EngineShares::EngineShares(std::string ownName, EngineSharesOptions given)
-    : options(given)
+EngineShares::EngineShares(std::string ownName, EngineSharesOptions initialOptions)
+    : options(initialOptions)
     , ranking(std::move(ownName))
 {
 }
@@ -15,13 +15,13 @@
 void EngineShares::setInstances(std::span<const std::string> names)
 {
     this->ranking.setOthers(names);
-    this->countSharers();
+    this->updateAssigneeCount();
 }
 
 void EngineShares::onListed(std::string_view engine)
 {
     this->engines.emplace(engine);
-    this->countSharers();
+    this->updateAssigneeCount();
 }
 
 void EngineShares::onRemoved(std::string_view engine)
@@ -30,23 +30,23 @@
     if (found == this->engines.end())
         return;
     this->engines.erase(found);
-    this->countSharers();
+    this->updateAssigneeCount();
 }
 
-// A power of two, so that it seldom changes as engines come and go.
-void EngineShares::countSharers()
+// The number of assignees is a power of two, so that it rarely changes as engines come and go.
+void EngineShares::updateAssigneeCount()
 {
-    const std::size_t all = this->ranking.count();
-    this->sharers = all;
-    if (this->engines.size() <= this->options.leastEngines)
+    const std::size_t instanceCount = this->ranking.count();
+    this->assignees = instanceCount;
+    if (this->engines.size() <= this->options.minEngines)
         return;
-    const std::size_t wanted = this->options.leastEngines * all / this->engines.size() + 1;
-    this->sharers = std::min(all, std::bit_ceil(wanted));
+    const std::size_t wanted = this->options.minEngines * instanceCount / this->engines.size() + 1;
+    this->assignees = std::min(instanceCount, std::bit_ceil(wanted));
 }
 
 bool EngineShares::isAssigned(std::string_view engine) const
 {
-    return this->usesAllEngines() || this->ranking.ownRank(engine) < this->sharers;
+    return this->usesAllEngines() || this->ranking.ownRank(engine) < this->assignees;
 }
 
 bool EngineShares::shouldPollLoad(std::string_view engine) const
@@ -56,7 +56,7 @@
 
 std::vector<std::string> EngineShares::otherAssignees(std::string_view engine) const
 {
-    std::vector<std::string> names = this->ranking.first(engine, this->sharers);
+    std::vector<std::string> names = this->ranking.first(engine, this->assignees);
     std::erase(names, this->ranking.ownName());
     return names;
 }
--- a/lib/Routing/knownfleet.cpp
+++ b/lib/Routing/knownfleet.cpp
@@ -20,7 +20,7 @@
             instance.upSince = now;
         instance.goneSince.reset();
     }
-    const TimePoint oldest = now - this->options.remembered;
+    const TimePoint oldest = now - this->options.retention;
     std::erase_if(this->known, [oldest](const auto &entry) {
         return entry.second.goneSince && *entry.second.goneSince < oldest;
     });
--- a/lib/Routing/retrybudget.cpp
+++ b/lib/Routing/retrybudget.cpp
@@ -4,20 +4,23 @@
 
 namespace jaytrack {
 
-double RetryBudget::freeShare() const
+double RetryBudget::unearnedShare() const
 {
-    return std::min(mostFree, this->bound.slack * freePart / static_cast<double>(this->instances));
+    return std::min(maxUnearned,
+                    this->bound.slack * unearnedSlackPart / static_cast<double>(this->instances));
 }
 
-// Tokens saved up may not exceed what one window earns: a storm after a calm minute would otherwise
-// spend the savings of several windows within one. In a large fleet an instance sees a request in
-// two seconds, which earn a whole repeat only over some windows; it may save up that one.
-double RetryBudget::mostTokens(const Account &account) const
+// Returns the largest number of tokens that may be saved. It is limited to what one window earns:
+// otherwise a surge of failures after a quiet minute could spend the savings of several windows
+// within one. In a large fleet an instance may receive only one request every two seconds and needs
+// several windows to earn one retry, so it may save up that one.
+double RetryBudget::maxTokens(const Account &account) const
 {
-    static constexpr double windowsForOne = 4;
-    const double lately = account.earnedBefore + account.earnedInWindow;
-    const double one = std::min(1.0, windowsForOne * lately);
-    return std::max({this->freeShare(), account.earnedBefore, account.earnedInWindow, one});
+    static constexpr double windowsPerRetry = 4;
+    const double recentEarnings = account.earnedBefore + account.earnedInWindow;
+    const double oneRetry = std::min(1.0, windowsPerRetry * recentEarnings);
+    return std::max(
+            {this->unearnedShare(), account.earnedBefore, account.earnedInWindow, oneRetry});
 }
 
 RetryBudget::Account &RetryBudget::accountOf(std::string_view service)
@@ -29,25 +32,25 @@
     account.earnedBefore = since < 2 * this->bound.window ? account.earnedInWindow : 0;
     account.earnedInWindow = 0;
     account.windowStart = this->clock.now();
-    account.tokens = std::min(account.tokens, this->mostTokens(account));
+    account.tokens = std::min(account.tokens, this->maxTokens(account));
     return account;
 }
 
 void RetryBudget::earn(std::string_view service)
 {
     Account &account = this->accountOf(service);
-    const double earned = this->bound.ratio * usedPart;
+    const double earned = this->bound.ratio * usableRatioPart;
     account.earnedInWindow += earned;
-    account.tokens = std::min(account.tokens + earned, this->mostTokens(account));
+    account.tokens = std::min(account.tokens + earned, this->maxTokens(account));
 }
 
 bool RetryBudget::take(std::string_view service)
 {
     Account &account = this->accountOf(service);
-    // Not before the first repeat, by when the other instances are known.
-    if (!account.freeGranted) {
-        account.freeGranted = true;
-        account.tokens += this->freeShare();
+    // Granted only at the first retry, because the number of instances is known by then.
+    if (!account.unearnedGranted) {
+        account.unearnedGranted = true;
+        account.tokens += this->unearnedShare();
     }
     if (account.tokens < 1)
         return false;
--- a/lib/Routing/routingtable.cpp
+++ b/lib/Routing/routingtable.cpp
@@ -66,10 +66,10 @@
     double total = 0;
     for (const ServiceShare &share : route.services)
         total += share.weight;
-    double left = draw * total;
+    double remaining = draw * total;
     for (const ServiceShare &share : route.services) {
-        left -= share.weight;
-        if (left < 0)
+        remaining -= share.weight;
+        if (remaining < 0)
             return share.service;
     }
     return route.services.back().service;
--- a/lib/Routing/runplan.cpp
+++ b/lib/Routing/runplan.cpp
@@ -8,7 +8,7 @@
     this->leaving = false;
     this->lost = false;
     this->copying = false;
-    this->copyTries = 0;
+    this->copyAttempts = 0;
     this->refused.clear();
     this->copy.reset();
 }
@@ -16,7 +16,7 @@
 void RunPlan::copyStarted()
 {
     this->copying = true;
-    ++this->copyTries;
+    ++this->copyAttempts;
 }
 
 void RunPlan::copyMade(std::string_view at, ResumePoint point)
@@ -29,7 +29,7 @@
 {
     this->copying = false;
     this->refused.insert(std::string(at));
-    this->copyTryAt = this->clock.now() + this->options.retryPause;
+    this->nextCopyAt = this->clock.now() + this->options.retryPause;
 }
 
 void RunPlan::copyRefused()
@@ -47,7 +47,7 @@
     if (this->running != id || this->leaving)
         return;
     this->leaving = true;
-    this->copyTryAt = this->clock.now() + this->options.firstPause;
+    this->nextCopyAt = this->clock.now() + this->options.firstPause;
 }
 
 void RunPlan::engineLost()
@@ -70,14 +70,15 @@
 {
     if (this->lost && !this->copyUsable())
         return {this->options.mayRunAgain ? RunStepKind::StartAnew : RunStepKind::Lost, {}, {}};
-    // Before its first event nobody can say whether a run has begun, so it is left where it is.
+    // Before its first event it is unknown whether a run has started, so it is not moved.
     const bool mayMove = this->lost || (this->leaving && this->anyEvent && !this->copying);
     if (!mayMove)
         return {};
     if (this->copyUsable())
         return {RunStepKind::Resume, this->copy->target, this->copy->point};
-    const bool mayCopy = this->options.movesRuns && this->copyTries < this->options.mostCopyTries &&
-                         this->clock.now() >= this->copyTryAt;
+    const bool mayCopy = this->options.movesRuns &&
+                         this->copyAttempts < this->options.maxCopyAttempts &&
+                         this->clock.now() >= this->nextCopyAt;
     return mayCopy ? RunStep{RunStepKind::MakeCopy, {}, {}} : RunStep{};
 }
 
--- a/lib/Routing/targetdirectory.cpp
+++ b/lib/Routing/targetdirectory.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Names whose starts are remembered. At 130 restarts a day this is a month of them, and each takes
-// some hundred bytes.
-constexpr std::size_t mostStartsKept = 4096;
+// Maximum number of names whose start times are kept. At 130 restarts per day this covers a month,
+// and each entry takes some hundred bytes.
+constexpr std::size_t maxStartsKept = 4096;
 
-// Lives that have left and are remembered, for the same time.
-constexpr std::size_t mostLeftKept = 4096;
+// Maximum number of ids of incarnations that have left, which covers the same time.
+constexpr std::size_t maxLeftKept = 4096;
 
 } // namespace
 
@@ -50,32 +50,32 @@
     return latest != this->latestStarts.end() && entry.startedAt < latest->second;
 }
 
-void TargetDirectory::noteStart(const std::string &name, StartTime startedAt)
+void TargetDirectory::recordStart(const std::string &name, StartTime startedAt)
 {
     if (startedAt == unknownStart)
         return;
-    if (this->latestStarts.size() >= mostStartsKept)
+    if (this->latestStarts.size() >= maxStartsKept)
         this->latestStarts.clear();
     this->latestStarts.insert_or_assign(name, startedAt);
 }
 
-void TargetDirectory::noteLeft(const std::string &id)
+void TargetDirectory::recordLeft(const std::string &id)
 {
-    if (!this->leftLives.insert(id).second)
+    if (!this->leftIncarnations.insert(id).second)
         return;
     this->leftOrder.push_back(id);
-    if (this->leftOrder.size() <= mostLeftKept)
+    if (this->leftOrder.size() <= maxLeftKept)
         return;
-    this->leftLives.erase(this->leftOrder.front());
+    this->leftIncarnations.erase(this->leftOrder.front());
     this->leftOrder.pop_front();
 }
 
 void TargetDirectory::add(TargetEntry entry)
 {
-    entry.leaving = entry.leaving || this->leftLives.count(entry.id) > 0;
+    entry.leaving = entry.leaving || this->leftIncarnations.count(entry.id) > 0;
     if (entry.leaving)
-        this->noteLeft(entry.id);
-    this->noteStart(entry.name, entry.startedAt);
+        this->recordLeft(entry.id);
+    this->recordStart(entry.name, entry.startedAt);
     const std::string name = entry.name;
     const TargetEntry added = entry;
     this->entries.insert_or_assign(name, Row{std::move(entry)});
@@ -83,10 +83,10 @@
         this->listener.onTargetLeaving(added, "listed_leaving");
     else
         this->listener.onTargetListed(added);
-    this->tellIfCold(added);
+    this->notifyIfCold(added);
 }
 
-void TargetDirectory::tellIfCold(const TargetEntry &entry)
+void TargetDirectory::notifyIfCold(const TargetEntry &entry)
 {
     if (entry.coldFor > std::chrono::milliseconds(0) && !entry.leaving)
         this->listener.onTargetCold(entry);
@@ -95,7 +95,8 @@
 void TargetDirectory::put(TargetEntry entry)
 {
     if (this->isOutdated(entry)) {
-        // A target that told its start once tells it always, so this is not its own entry.
+        // A target that has reported its start time always reports it, so this entry was not
+        // written by the target.
         if (entry.startedAt == unknownStart)
             this->suspend(entry.name);
         return;
@@ -104,21 +105,22 @@
     if (found == this->entries.end())
         return this->add(std::move(entry));
     if (found->second.entry.id != entry.id) {
-        this->endLife(found);
+        this->endIncarnation(found);
         return this->add(std::move(entry));
     }
     Row &row = found->second;
     const bool wasLeaving = row.entry.leaving;
-    // A life never takes its leaving back; an older entry read late must not revive it.
+    // An incarnation never stops leaving, so an older entry that is read late must not make it
+    // usable again.
     entry.leaving = entry.leaving || wasLeaving;
     row.entry = std::move(entry);
     row.missing = false;
     row.suspended = false;
     if (row.entry.leaving && !wasLeaving) {
-        this->noteLeft(row.entry.id);
+        this->recordLeft(row.entry.id);
         this->listener.onTargetLeaving(row.entry, "announced");
     }
-    this->tellIfCold(TargetEntry(row.entry));
+    this->notifyIfCold(TargetEntry(row.entry));
 }
 
 void TargetDirectory::remove(std::string_view name, bool keepMissing)
@@ -130,7 +132,7 @@
         found->second.missing = true;
         return;
     }
-    this->leave(found, "unlisted");
+    this->removeRow(found, "unlisted");
 }
 
 void TargetDirectory::suspend(std::string_view name)
@@ -152,15 +154,15 @@
 
 bool TargetDirectory::markLeaving(std::string_view id, std::string_view reason)
 {
-    const bool news = this->leftLives.count(id) == 0;
-    this->noteLeft(std::string(id));
+    const bool isNew = this->leftIncarnations.count(id) == 0;
+    this->recordLeft(std::string(id));
     const auto found = this->rowOf(id);
     if (found == this->entries.end() || found->second.entry.leaving)
-        return news;
+        return isNew;
     this->entries.find(found->first)->second.entry.leaving = true;
     const TargetEntry entry = found->second.entry;
     this->listener.onTargetLeaving(entry, reason);
-    return news;
+    return isNew;
 }
 
 void TargetDirectory::updateStartTime(std::string_view id, StartTime startedAt)
@@ -171,8 +173,8 @@
     const StartTime known = found->second.entry.startedAt;
     if (known == unknownStart || startedAt <= known)
         return;
-    this->noteStart(found->second.entry.name, startedAt);
-    this->endLife(this->entries.find(found->first));
+    this->recordStart(found->second.entry.name, startedAt);
+    this->endIncarnation(this->entries.find(found->first));
 }
 
 void TargetDirectory::dropMissing()
@@ -180,31 +182,31 @@
     for (auto row = this->entries.begin(); row != this->entries.end();) {
         const auto next = std::next(row);
         if (row->second.missing)
-            this->leave(row, "missing_after_outage");
+            this->removeRow(row, "missing_after_outage");
         row = next;
     }
-    this->tellOfUse(this->dataCentres.dropMissing());
+    this->notifyUseChanges(this->dataCentres.dropMissing());
 }
 
 void TargetDirectory::updateDataCentre(const DataCentreRecord &record)
 {
-    if (this->dataCentres.take(record))
+    if (this->dataCentres.apply(record))
         this->listener.onDataCentreUse(record.dataCentre, record.outOfUse);
 }
 
 void TargetDirectory::replaceDataCentres(std::span<const DataCentreRecord> records,
                                          bool keepMissing)
 {
-    this->tellOfUse(this->dataCentres.takeAll(records, keepMissing));
+    this->notifyUseChanges(this->dataCentres.applyAll(records, keepMissing));
 }
 
-void TargetDirectory::tellOfUse(std::span<const std::string> changed)
+void TargetDirectory::notifyUseChanges(std::span<const std::string> changed)
 {
     for (const std::string &dataCentre : changed)
         this->listener.onDataCentreUse(dataCentre, this->isOutOfUse(dataCentre));
 }
 
-void TargetDirectory::leave(Rows::iterator row, std::string_view reason)
+void TargetDirectory::removeRow(Rows::iterator row, std::string_view reason)
 {
     const TargetEntry entry = std::move(row->second.entry);
     this->entries.erase(row);
@@ -212,7 +214,7 @@
         this->listener.onTargetLeaving(entry, reason);
 }
 
-void TargetDirectory::endLife(Rows::iterator row)
+void TargetDirectory::endIncarnation(Rows::iterator row)
 {
     const TargetEntry entry = std::move(row->second.entry);
     this->entries.erase(row);
@@ -223,8 +225,8 @@
 {
     std::vector<const TargetEntry *> found;
     for (const auto &[name, row] : this->entries) {
-        const bool given = row.entry.service == service && !row.entry.leaving && !row.suspended;
-        if (given && !this->isOutOfUse(row.entry.dataCentre))
+        const bool eligible = row.entry.service == service && !row.entry.leaving && !row.suspended;
+        if (eligible && !this->isOutOfUse(row.entry.dataCentre))
             found.push_back(&row.entry);
     }
     return found;
--- a/unittests/Routing/datacentreusetest.cpp
+++ b/unittests/Routing/datacentreusetest.cpp
@@ -1,5 +1,5 @@
-// Which data centres are out of use, as the operators' records come in any order and the store
-// loses some.
+// Checks which data centres are out of use when the operators' records arrive in any order and the
+// store loses some of them.
 #include "jaytrack/Routing/datacentreuse.h"
 
 #include <criterion/criterion.h>
@@ -11,11 +11,11 @@
 
 namespace {
 
-enum class Act { Nothing, Out, Back, List, ListNone, ListNoneKeep, Drop, StoreReturns };
+enum class Action { None, Out, Back, List, ListNone, ListNoneKeep, Drop, StoreReturns };
 
 struct Step
 {
-    Act act = Act::Nothing;
+    Action action = Action::None;
     unsigned revision = 0;
 };
 
@@ -27,47 +27,63 @@
 };
 
 UseCase useCases[] = {
-        {"put out of use", {{{Act::Out, 5}}}, true},
-        {"put back", {{{Act::Out, 5}, {Act::Back, 7}}}, false},
-        {"an older order comes late", {{{Act::Out, 5}, {Act::Back, 7}, {Act::Out, 5}}}, false},
-        {"an older removal comes late", {{{Act::Back, 5}, {Act::Out, 7}, {Act::Back, 5}}}, true},
-        {"the same order twice", {{{Act::Out, 5}, {Act::Out, 5}}}, true},
-        {"the listing has it", {{{Act::List, 9}}}, true},
-        {"the listing lacks it", {{{Act::Out, 5}, {Act::ListNone}}}, false},
-        {"a copy lacks it", {{{Act::Out, 5}, {Act::StoreReturns}, {Act::ListNoneKeep}}}, true},
-        {"a copy lacks it and it is never written again",
-         {{{Act::Out, 5}, {Act::StoreReturns}, {Act::ListNoneKeep}, {Act::Drop}}},
+        {"put out of use", {{{Action::Out, 5}}}, true},
+        {"put back", {{{Action::Out, 5}, {Action::Back, 7}}}, false},
+        {"an older record arrives late",
+         {{{Action::Out, 5}, {Action::Back, 7}, {Action::Out, 5}}},
          false},
-        {"a copy lacks it and it is written again under a smaller number",
-         {{{Act::Out, 5}, {Act::StoreReturns}, {Act::ListNoneKeep}, {Act::Out, 3}, {Act::Drop}}},
+        {"an older removal arrives late",
+         {{{Action::Back, 5}, {Action::Out, 7}, {Action::Back, 5}}},
          true},
-        {"a copy still has it and the removal is written again",
-         {{{Act::Out, 5}, {Act::Back, 7}, {Act::StoreReturns}, {Act::List, 5}, {Act::Back, 6}}},
+        {"the same record twice", {{{Action::Out, 5}, {Action::Out, 5}}}, true},
+        {"the listing contains it", {{{Action::List, 9}}}, true},
+        {"the listing lacks it", {{{Action::Out, 5}, {Action::ListNone}}}, false},
+        {"the restored store lacks it",
+         {{{Action::Out, 5}, {Action::StoreReturns}, {Action::ListNoneKeep}}},
+         true},
+        {"the restored store lacks it and it is never written again",
+         {{{Action::Out, 5}, {Action::StoreReturns}, {Action::ListNoneKeep}, {Action::Drop}}},
+         false},
+        {"the restored store lacks it; written again at a smaller revision",
+         {{{Action::Out, 5},
+           {Action::StoreReturns},
+           {Action::ListNoneKeep},
+           {Action::Out, 3},
+           {Action::Drop}}},
+         true},
+        {"the restored store still has it; the removal is written again",
+         {{{Action::Out, 5},
+           {Action::Back, 7},
+           {Action::StoreReturns},
+           {Action::List, 5},
+           {Action::Back, 6}}},
          false},
-        {"nothing is dropped without a return", {{{Act::Out, 5}, {Act::Drop}}}, true},
+        {"nothing is dropped unless the store was restored",
+         {{{Action::Out, 5}, {Action::Drop}}},
+         true},
 };
 
-void play(DataCentreUse &use, const Step &step)
+void applyStep(DataCentreUse &use, const Step &step)
 {
-    const DataCentreRecord record{"north", step.revision, step.act != Act::Back};
-    switch (step.act) {
-    case Act::Nothing:
+    const DataCentreRecord record{"north", step.revision, step.action != Action::Back};
+    switch (step.action) {
+    case Action::None:
         return;
-    case Act::Out:
-    case Act::Back:
-        use.take(record);
+    case Action::Out:
+    case Action::Back:
+        use.apply(record);
         return;
-    case Act::List:
-        use.takeAll(std::span(&record, 1), false);
+    case Action::List:
+        use.applyAll(std::span(&record, 1), false);
         return;
-    case Act::ListNone:
-    case Act::ListNoneKeep:
-        use.takeAll({}, step.act == Act::ListNoneKeep);
+    case Action::ListNone:
+    case Action::ListNoneKeep:
+        use.applyAll({}, step.action == Action::ListNoneKeep);
         return;
-    case Act::Drop:
+    case Action::Drop:
         use.dropMissing();
         return;
-    case Act::StoreReturns:
+    case Action::StoreReturns:
         use.forgetRevisions();
         return;
     }
@@ -75,16 +91,16 @@
 
 } // namespace
 
-ParameterizedTestParameters(dataCentreUse, orders)
+ParameterizedTestParameters(dataCentreUse, recordsInAnyOrder)
 {
     return cr_make_param_array(UseCase, useCases, std::size(useCases));
 }
 
-ParameterizedTest(UseCase *given, dataCentreUse, orders)
+ParameterizedTest(UseCase *param, dataCentreUse, recordsInAnyOrder)
 {
     DataCentreUse use;
-    for (const Step &step : given->steps)
-        play(use, step);
-    cr_assert_eq(use.isOutOfUse("north"), given->outOfUse, "%s", given->name);
+    for (const Step &step : param->steps)
+        applyStep(use, step);
+    cr_assert_eq(use.isOutOfUse("north"), param->outOfUse, "%s", param->name);
     cr_assert_not(use.isOutOfUse("south"));
 }
--- a/unittests/Routing/runplantest.cpp
+++ b/unittests/Routing/runplantest.cpp
@@ -1,4 +1,4 @@
-// The life of a generation when its engines leave or are lost, step by step.
+// Checks step by step how a generation continues when its engines leave or are lost.
 #include "jaytrack/Routing/runplan.h"
 
 #include <criterion/criterion.h>
@@ -7,9 +7,9 @@
 
 namespace {
 
-struct Plan
+struct PlanFixture
 {
-    explicit Plan(RunPlanOptions options)
+    explicit PlanFixture(RunPlanOptions options)
         : plan(this->clock, options)
     {
         this->plan.placed("e1");
@@ -21,7 +21,7 @@
     RunPlan plan;
 };
 
-RunPlanOptions moving()
+RunPlanOptions movableOptions()
 {
     RunPlanOptions options;
     options.movesRuns = true;
@@ -30,31 +30,30 @@
 
 } // namespace
 
-Test(runPlan, calmRunWaits)
+Test(runPlan, undisturbedRunWaits)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.eventProduced();
     cr_assert(run.step() == RunStepKind::Wait);
 }
 
-// Symptom: a generation runs twice.
-// Events: an engine leaves before the first event of a run; the run is sent elsewhere; the engine
-// had begun on it. Cause: before the first event nobody can say whether a run has begun.
-Test(runPlan, nothingMovesBeforeTheFirstEvent)
+// Guards against running a generation twice. An engine leaves before the first event of a run; it
+// may have started the run, which nobody can tell before that event, and the run must not be sent
+// elsewhere.
+Test(runPlan, runIsNotMovedBeforeFirstEvent)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::Wait);
     run.plan.eventProduced();
     cr_assert(run.step() == RunStepKind::MakeCopy);
 }
 
-// Symptom: a draft breaks off when its engine leaves.
-// Events: the engine announces its leaving two seconds ahead; the run is copied, then goes on at
-// the copy.
-Test(runPlan, leavingEngineIsCopiedThenLeft)
+// Guards against a generation that breaks off when its engine leaves. The engine announces two
+// seconds in advance that it leaves; the run is copied and then resumed at the copy.
+Test(runPlan, runIsCopiedThenResumedWhenEngineLeaves)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.eventProduced();
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::MakeCopy);
@@ -69,37 +68,37 @@
     cr_assert(run.step() == RunStepKind::Wait);
 }
 
-// Symptom: a run is lost although engines with room were there.
-// Events: the first engine that is asked has no room; nobody asks another one.
-Test(runPlan, refusedCopyIsTriedElsewhereAFewTimes)
+// Guards against losing a run although other engines have memory, when the first engine requested
+// has none and no other one is tried.
+Test(runPlan, refusedCopyIsRetriedElsewhere)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.eventProduced();
     run.plan.engineLeaving("e1");
-    int tries = 0;
-    for (; tries < 100 && run.step() == RunStepKind::MakeCopy; ++tries) {
-        const std::string id = "e" + std::to_string(tries + 2);
+    int attempts = 0;
+    for (; attempts < 100 && run.step() == RunStepKind::MakeCopy; ++attempts) {
+        const std::string id = "e" + std::to_string(attempts + 2);
         run.plan.copyStarted();
         run.plan.copyFailed(id);
         cr_assert(run.plan.unsuitableEngines().count(id) == 1);
-        cr_assert(run.step() == RunStepKind::Wait, "full engines need a moment");
+        cr_assert(run.step() == RunStepKind::Wait, "the delay after a refusal applies");
         run.clock.advance(std::chrono::milliseconds(100));
     }
-    cr_assert_eq(tries, RunPlanOptions().mostCopyTries);
+    cr_assert_eq(attempts, RunPlanOptions().maxCopyAttempts);
 }
 
-// Symptom: a resumed run is refused, since its copy was dropped.
-// Events: the copy's engine leaves as well, or the copy is older than engines keep it.
-Test(runPlan, copyThatIsGoneIsNotUsed)
+// Guards against resuming a run at a copy that no longer exists, because the copy's engine leaves
+// as well or the copy is older than engines keep it.
+Test(runPlan, unavailableCopyIsNotUsed)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.eventProduced();
     run.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     run.plan.engineLeaving("e2");
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::MakeCopy);
 
-    Plan old(moving());
+    PlanFixture old(movableOptions());
     old.plan.eventProduced();
     old.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     old.clock.advance(std::chrono::seconds(6));
@@ -107,12 +106,11 @@
     cr_assert(old.step() == RunStepKind::Lost);
 }
 
-// Symptom: a run is lost although its copy was made.
-// Events: the engine is gone before the run has been resumed at the copy, or the copy's engine
-// refuses.
-Test(runPlan, lostEngineIsResumedFromTheCopy)
+// Guards against losing a run although its copy was made, when the engine is lost before the run
+// has been resumed at the copy, or when the copy's engine refuses.
+Test(runPlan, lostRunIsResumedFromCopy)
 {
-    Plan run(moving());
+    PlanFixture run(movableOptions());
     run.plan.eventProduced();
     run.plan.copyMade("e2", {"10.0.0.1:1", "h"});
     run.plan.engineLost();
@@ -123,31 +121,32 @@
     cr_assert(run.step() == RunStepKind::Lost);
 }
 
-Test(runPlan, onlyWhatMayRunAgainStartsAnew)
+Test(runPlan, onlyRepeatableRunsStartAgain)
 {
-    Plan once(moving());
+    PlanFixture once(movableOptions());
     once.plan.engineLost();
     cr_assert(once.step() == RunStepKind::Lost);
-    RunPlanOptions again = moving();
+    RunPlanOptions again = movableOptions();
     again.mayRunAgain = true;
-    Plan resumable(again);
+    PlanFixture resumable(again);
     resumable.plan.engineLost();
     cr_assert(resumable.step() == RunStepKind::StartAnew);
 }
 
-// Symptom: copies are refused for want of room at one engine while others are empty.
-// Events: all instances learn of a leaving in the same millisecond and order their copies at once,
-// before any notice of them has passed. Cause: nothing kept them apart.
-Test(runPlan, firstCopyWaitsForItsPause)
+// Guards against copies that are refused by one full engine while others are empty. All instances
+// learn in the same millisecond that an engine is leaving and would all request copies at once,
+// before any notice of another instance arrives.
+Test(runPlan, firstCopyIsDelayed)
 {
-    RunPlanOptions options = moving();
+    RunPlanOptions options = movableOptions();
     options.firstPause = std::chrono::milliseconds(60);
-    Plan run(options);
+    PlanFixture run(options);
     run.plan.eventProduced();
     run.plan.engineLeaving("e1");
     cr_assert(run.step() == RunStepKind::Wait);
     run.clock.advance(std::chrono::milliseconds(40));
     run.plan.engineLeaving("e1");
     run.clock.advance(std::chrono::milliseconds(20));
-    cr_assert(run.step() == RunStepKind::MakeCopy, "said twice, it begins no later");
+    cr_assert(run.step() == RunStepKind::MakeCopy,
+              "a repeated announcement does not extend the delay");
 }
