--- a/unittests/Routing/admissiontest.cpp
+++ b/unittests/Routing/admissiontest.cpp
@@ -1,4 +1,5 @@
-// Who is served, refused or denied, by route, key and the age of the last confirmation.
+// Checks which requests are admitted, refused or denied, depending on route, key and the age of the
+// last confirmation.
 #include "jaytrack/Routing/admission.h"
 
 #include <criterion/criterion.h>
@@ -14,20 +15,20 @@
     table.version = 3;
     table.hasCustomers = true;
     table.holders.emplace("good", KeyHolder{"weavers", std::nullopt});
-    RouteRule wide;
-    wide.host = "site.example";
-    wide.prefix = "/a/";
-    wide.kind = RequestKind::Idempotent;
-    wide.services = {{"svc", 1}};
-    wide.timeout = std::chrono::milliseconds(3000);
-    RouteRule narrow = wide;
-    narrow.prefix = "/a/b/";
-    narrow.kind = RequestKind::OnceStream;
-    RouteRule open = wide;
-    open.prefix = "/open/";
-    open.needsKey = false;
-    open.timeout = std::chrono::milliseconds(0); // none
-    table.routes = {wide, narrow, open};
+    RouteRule wideRoute;
+    wideRoute.host = "site.example";
+    wideRoute.prefix = "/a/";
+    wideRoute.kind = RequestKind::Idempotent;
+    wideRoute.services = {{"svc", 1}};
+    wideRoute.timeout = std::chrono::milliseconds(3000);
+    RouteRule narrowRoute = wideRoute;
+    narrowRoute.prefix = "/a/b/";
+    narrowRoute.kind = RequestKind::OnceStream;
+    RouteRule keylessRoute = wideRoute;
+    keylessRoute.prefix = "/open/";
+    keylessRoute.needsKey = false;
+    keylessRoute.timeout = std::chrono::milliseconds(0); // unbounded
+    table.routes = {wideRoute, narrowRoute, keylessRoute};
     return table;
 }
 
@@ -38,24 +39,25 @@
     char key[8];
     char id[4];
     int ageMs;
-    bool known;
-    int endsInMs; // of a stopping instance; -1 for one that stays
+    bool hasTable;
+    int endsInMs; // for a stopping instance; -1 for one that is not stopping
     int deadlineMs;
     int code;
 };
 
 } // namespace
 
-ParameterizedTestParameters(admission, decides)
+ParameterizedTestParameters(admission, admitsRefusesAndDenies)
 {
     static AdmissionCase cases[] = {
             {"site.example", "/a/x", "good", "i", 0, true, -1, 0, 0},
             {"site.example:80", "/a/x", "good", "i", 0, true, -1, 0, 0},
             {"site.example", "/a/x", "good", "i", 4400, true, -1, 0, 0},
-            // A key may have been taken away since the last confirmation.
+            // The key may have been revoked since the last confirmation.
             {"site.example", "/a/x", "good", "i", 4600, true, -1, 0, 209},
             {"site.example", "/open/x", "", "i", 60000, true, -1, 0, 0},
-            // A denial needs knowledge that is as new as changes must be in force.
+            // A denial requires a confirmation no older than the time within which changes are in
+            // force.
             {"site.example", "/a/x", "bad", "i", 100, true, -1, 0, 105},
             {"site.example", "/a/x", "", "i", 100, true, -1, 0, 105},
             {"site.example", "/a/x", "bad", "i", 2500, true, -1, 0, 209},
@@ -65,10 +67,11 @@
             {"site.example", "/a/x", "good", "i", 0, false, -1, 0, 205},
             {"site.example", "/a/x", "good", "", 0, true, -1, 0, 101},
             {"", "/a/x", "good", "i", 0, true, -1, 0, 101},
-            // A stopping instance still answers short requests, but begins no stream.
+            // A stopping instance still answers short requests but starts no stream.
             {"site.example", "/a/x", "good", "i", 0, true, 5000, 1000, 0},
             {"site.example", "/a/b/x", "good", "i", 0, true, 5000, 1000, 204},
-            // What might not be answered before it ends is better sent elsewhere at once.
+            // A request that might not complete before the instance exits is refused at once, so
+            // that its caller retries elsewhere.
             {"site.example", "/a/x", "good", "i", 0, true, 900, 1000, 204},
             {"site.example", "/a/x", "good", "i", 0, true, 2900, 0, 204},
             {"site.example", "/a/x", "good", "i", 0, true, 3100, 0, 0},
@@ -77,14 +80,14 @@
     return cr_make_param_array(AdmissionCase, cases, std::size(cases));
 }
 
-ParameterizedTest(AdmissionCase *param, admission, decides)
+ParameterizedTest(AdmissionCase *param, admission, admitsRefusesAndDenies)
 {
     const RoutingTable table = makeTable();
     RequestFacts facts;
     facts.attemptId = param->id;
     facts.key = param->key;
     AdmissionInputs inputs;
-    inputs.table = param->known ? &table : nullptr;
+    inputs.table = param->hasTable ? &table : nullptr;
     inputs.age = std::chrono::milliseconds(param->ageMs);
     if (param->endsInMs >= 0)
         inputs.endsIn = std::chrono::milliseconds(param->endsInMs);
@@ -106,7 +109,7 @@
     cr_assert_null(table.match("site.example", "/a"));
 }
 
-Test(routingTable, sharesAreKept)
+Test(routingTable, servicesAreDrawnByWeight)
 {
     RouteRule route;
     route.services = {{"large", 90}, {"small", 10}};
--- a/unittests/Routing/coldtargetstest.cpp
+++ b/unittests/Routing/coldtargetstest.cpp
@@ -1,4 +1,5 @@
-// How many requests a cold target gets of a whole fleet, whatever its instances know of each other.
+// Checks how many requests a whole fleet sends to a cold target when its instances have different
+// views of the fleet.
 #include "jaytrack/Routing/coldtargets.h"
 
 #include <criterion/criterion.h>
@@ -14,10 +15,10 @@
 namespace {
 
 constexpr std::chrono::milliseconds step{10};
-constexpr std::chrono::seconds played{20};
+constexpr std::chrono::seconds simulatedTime{20};
 constexpr double ownRate = 25;
 constexpr ColdBound bound{1.5, 5};
-constexpr double mostInSecond = ownRate * bound.overage + bound.extra;
+constexpr double maxPerSecond = ownRate * bound.overage + bound.extra;
 const std::string target = "cold-target";
 
 std::string instanceName(std::size_t index)
@@ -25,49 +26,49 @@
     return "instance-" + std::to_string(index);
 }
 
-enum class Trouble {
+enum class Disturbance {
     None,
-    Split,         // in two halves that take each other for gone
-    AllAlone,      // every instance takes all others for gone
-    RollingStarts, // one instance after the other starts anew and knows nobody at first
-    CommonStart,   // all start anew at once, and learn of each other within two seconds
-    LateNews       // instances learn of each other's coming and going at different moments
+    Split,         // into two halves, each of which considers the other one gone
+    AllIsolated,   // every instance considers all others gone
+    RollingStarts, // instances restart one after the other and at first know no others
+    CommonStart,   // all restart at once and discover each other within two seconds
+    DelayedUpdates // instances learn of joins and departures at different moments
 };
 
 struct FleetCase
 {
     char name[32];
     std::size_t instances;
-    Trouble trouble;
-    std::size_t leastInSecond; // on average, so that the target is not left idle
+    Disturbance disturbance;
+    std::size_t minPerSecond; // on average, so that the target is not left idle
 };
 
-// Each instance sends whenever it may, as if all callers wanted this one target.
+// A fleet in which each instance sends whenever it may, as if all callers needed this one target.
 class Fleet
 {
 public:
-    explicit Fleet(const FleetCase &given)
-        : fleet(given)
+    explicit Fleet(const FleetCase &param)
+        : fleet(param)
         , random(7)
     {
-        for (std::size_t i = 0; i < given.instances; ++i)
-            this->members.push_back(this->started(i));
+        for (std::size_t i = 0; i < param.instances; ++i)
+            this->members.push_back(this->startInstance(i));
         this->clock.advance(std::chrono::seconds(5));
-        this->meetAll();
+        this->connectAll();
     }
 
-    void play()
+    void run()
     {
-        const auto steps = played / step;
+        const auto steps = simulatedTime / step;
         for (int i = 0; i < steps; ++i) {
-            this->stir(i);
+            this->applyDisturbance(i);
             for (const auto &member : this->members)
                 this->sendIfAllowed(*member);
             this->clock.advance(step);
         }
     }
 
-    std::size_t worstSecond() const
+    std::size_t maxSentInSecond() const
     {
         std::size_t worst = 0;
         for (auto first = this->sends.begin(); first != this->sends.end(); ++first) {
@@ -78,14 +79,14 @@
         return worst;
     }
 
-    double perSecond() const
+    double meanPerSecond() const
     {
         return static_cast<double>(this->sends.size()) /
-               std::chrono::duration<double>(played).count();
+               std::chrono::duration<double>(simulatedTime).count();
     }
 
 private:
-    std::unique_ptr<ColdTargets> started(std::size_t index)
+    std::unique_ptr<ColdTargets> startInstance(std::size_t index)
     {
         const bool others = this->fleet.instances > 1;
         auto one = std::make_unique<ColdTargets>(this->clock, instanceName(index), bound, others);
@@ -93,7 +94,7 @@
         return one;
     }
 
-    void meet(std::size_t index, const std::function<bool(std::size_t)> &sees)
+    void setVisible(std::size_t index, const std::function<bool(std::size_t)> &sees)
     {
         std::vector<std::string> names;
         for (std::size_t other = 0; other < this->members.size(); ++other) {
@@ -103,56 +104,56 @@
         this->members[index]->setInstances(names);
     }
 
-    void meetAll()
+    void connectAll()
     {
         for (std::size_t i = 0; i < this->members.size(); ++i)
-            this->meet(i, [](std::size_t) { return true; });
+            this->setVisible(i, [](std::size_t) { return true; });
     }
 
-    void stir(int atStep)
+    void applyDisturbance(int atStep)
     {
         const std::size_t count = this->members.size();
-        const bool early = atStep == 100;
-        switch (this->fleet.trouble) {
-        case Trouble::None:
+        const bool isDisturbanceStep = atStep == 100;
+        switch (this->fleet.disturbance) {
+        case Disturbance::None:
             return;
-        case Trouble::Split:
-            for (std::size_t i = 0; early && i < count; ++i)
-                this->meet(i, [i, count](std::size_t other) {
+        case Disturbance::Split:
+            for (std::size_t i = 0; isDisturbanceStep && i < count; ++i)
+                this->setVisible(i, [i, count](std::size_t other) {
                     return (i < count / 2) == (other < count / 2);
                 });
             return;
-        case Trouble::AllAlone:
-            for (std::size_t i = 0; early && i < count; ++i)
-                this->meet(i, [](std::size_t) { return false; });
+        case Disturbance::AllIsolated:
+            for (std::size_t i = 0; isDisturbanceStep && i < count; ++i)
+                this->setVisible(i, [](std::size_t) { return false; });
             return;
-        case Trouble::RollingStarts:
+        case Disturbance::RollingStarts:
             if (atStep % 20 == 0)
                 this->members[static_cast<std::size_t>(atStep / 20) % count] =
-                        this->started(static_cast<std::size_t>(atStep / 20) % count);
+                        this->startInstance(static_cast<std::size_t>(atStep / 20) % count);
             if (atStep % 20 == 10)
-                this->meetAll();
+                this->connectAll();
             return;
-        case Trouble::CommonStart:
-            for (std::size_t i = 0; early && i < count; ++i)
-                this->members[i] = this->started(i);
+        case Disturbance::CommonStart:
+            for (std::size_t i = 0; isDisturbanceStep && i < count; ++i)
+                this->members[i] = this->startInstance(i);
             if (atStep > 100 && atStep < 300 && atStep % 50 == 0)
-                this->meetSome(0.5);
+                this->connectSome(0.5);
             if (atStep == 300)
-                this->meetAll();
+                this->connectAll();
             return;
-        case Trouble::LateNews:
+        case Disturbance::DelayedUpdates:
             if (atStep % 50 == 0)
-                this->meetSome(0.9);
+                this->connectSome(0.9);
             return;
         }
     }
 
-    void meetSome(double part)
+    void connectSome(double part)
     {
         std::bernoulli_distribution sees(part);
         for (std::size_t i = 0; i < this->members.size(); ++i)
-            this->meet(i, [this, &sees](std::size_t) { return sees(this->random); });
+            this->setVisible(i, [this, &sees](std::size_t) { return sees(this->random); });
     }
 
     void sendIfAllowed(ColdTargets &member)
@@ -171,52 +172,53 @@
 };
 
 FleetCase fleetCases[] = {
-        {"one", 1, Trouble::None, 10},
-        {"7", 7, Trouble::None, 10},
-        {"60", 60, Trouble::None, 10},
-        {"195", 195, Trouble::None, 10},
-        {"340", 340, Trouble::None, 10},
-        {"7, split", 7, Trouble::Split, 10},
-        {"60, split", 60, Trouble::Split, 10},
-        {"340, split", 340, Trouble::Split, 10},
-        {"7, all alone", 7, Trouble::AllAlone, 10},
-        {"60, all alone", 60, Trouble::AllAlone, 10},
-        {"340, all alone", 340, Trouble::AllAlone, 10},
-        {"7, rolling starts", 7, Trouble::RollingStarts, 0},
-        {"60, rolling starts", 60, Trouble::RollingStarts, 5},
-        {"340, rolling starts", 340, Trouble::RollingStarts, 5},
-        {"60, common start", 60, Trouble::CommonStart, 5},
-        {"340, common start", 340, Trouble::CommonStart, 5},
-        {"60, late news", 60, Trouble::LateNews, 5},
-        {"195, late news", 195, Trouble::LateNews, 5},
+        {"one", 1, Disturbance::None, 10},
+        {"7", 7, Disturbance::None, 10},
+        {"60", 60, Disturbance::None, 10},
+        {"195", 195, Disturbance::None, 10},
+        {"340", 340, Disturbance::None, 10},
+        {"7, split", 7, Disturbance::Split, 10},
+        {"60, split", 60, Disturbance::Split, 10},
+        {"340, split", 340, Disturbance::Split, 10},
+        {"7, all isolated", 7, Disturbance::AllIsolated, 10},
+        {"60, all isolated", 60, Disturbance::AllIsolated, 10},
+        {"340, all isolated", 340, Disturbance::AllIsolated, 10},
+        {"7, rolling starts", 7, Disturbance::RollingStarts, 0},
+        {"60, rolling starts", 60, Disturbance::RollingStarts, 5},
+        {"340, rolling starts", 340, Disturbance::RollingStarts, 5},
+        {"60, common start", 60, Disturbance::CommonStart, 5},
+        {"340, common start", 340, Disturbance::CommonStart, 5},
+        {"60, delayed updates", 60, Disturbance::DelayedUpdates, 5},
+        {"195, delayed updates", 195, Disturbance::DelayedUpdates, 5},
 };
 
 } // namespace
 
-// Guards against the sum of all instances breaking a cold target down, and against leaving it idle.
-ParameterizedTestParameters(coldTargets, sumOfTheFleetHolds)
+// Guards against overloading a cold target by the sum of all instances, and against leaving it
+// idle.
+ParameterizedTestParameters(coldTargets, fleetStaysWithinBound)
 {
     return cr_make_param_array(FleetCase, fleetCases, std::size(fleetCases));
 }
 
-ParameterizedTest(FleetCase *given, coldTargets, sumOfTheFleetHolds)
+ParameterizedTest(FleetCase *param, coldTargets, fleetStaysWithinBound)
 {
-    Fleet fleet(*given);
-    fleet.play();
-    cr_log_info("%s: at worst %zu in a second, %.1f on average", given->name, fleet.worstSecond(),
-                fleet.perSecond());
-    cr_expect_leq(static_cast<double>(fleet.worstSecond()), mostInSecond, "%s: %zu", given->name,
-                  fleet.worstSecond());
-    cr_expect_geq(fleet.perSecond(), static_cast<double>(given->leastInSecond), "%s: %.1f",
-                  given->name, fleet.perSecond());
+    Fleet fleet(*param);
+    fleet.run();
+    cr_log_info("%s: at most %zu requests in one second, %.1f on average", param->name,
+                fleet.maxSentInSecond(), fleet.meanPerSecond());
+    cr_expect_leq(static_cast<double>(fleet.maxSentInSecond()), maxPerSecond,
+                  "%s: %zu requests in one second", param->name, fleet.maxSentInSecond());
+    cr_expect_geq(fleet.meanPerSecond(), static_cast<double>(param->minPerSecond),
+                  "%s: %.1f requests per second on average", param->name, fleet.meanPerSecond());
 }
 
 namespace {
 
-// One instance that has known its fleet for a while.
-struct Settled
+// An instance that has known its fleet for a while.
+struct SettledInstance
 {
-    Settled()
+    SettledInstance()
         : targets(this->clock, "own", bound, false)
     {
         this->clock.advance(std::chrono::seconds(10));
@@ -228,9 +230,9 @@
 
 } // namespace
 
-Test(coldTargets, warmTargetsAndServicesWithoutARateAreFree)
+Test(coldTargets, warmTargetsAndServicesWithoutRateAreUnlimited)
 {
-    Settled own;
+    SettledInstance own;
     cr_assert_eq(own.targets.wait("a", ownRate), Duration(0));
     own.targets.recordCold("a", std::chrono::seconds(1));
     for (int i = 0; i < 100; ++i)
@@ -242,23 +244,23 @@
     cr_assert_eq(own.targets.wait("a", ownRate), Duration(0));
 }
 
-// Guards against an entry read late that ends a coldness told since.
-Test(coldTargets, shorterNewsEndsNothing)
+// Guards against ending a cold period early because of an older, shorter report that arrives late.
+Test(coldTargets, shorterReportDoesNotEndColdPeriod)
 {
-    Settled own;
+    SettledInstance own;
     cr_assert(own.targets.recordCold("a", std::chrono::seconds(3)));
     cr_assert_not(own.targets.recordCold("a", std::chrono::seconds(1)));
     cr_assert_not(own.targets.recordCold("a", std::chrono::milliseconds(3100)),
-                  "a beat tells no news");
+                  "the heartbeat repeats a known cold period");
     own.clock.advance(std::chrono::seconds(2));
     cr_assert(own.targets.isCold("a"));
-    cr_assert(own.targets.recordCold("a", std::chrono::seconds(3)), "it became cold again");
+    cr_assert(own.targets.recordCold("a", std::chrono::seconds(3)), "the target became cold again");
 }
 
-// Guards against a caller that is told to come back before the target takes one more.
-Test(coldTargets, tellsWhenTheNextMayGo)
+// Guards against telling a caller to retry before the target accepts another request.
+Test(coldTargets, waitEndsWhenNextRequestIsAllowed)
 {
-    Settled own;
+    SettledInstance own;
     own.targets.recordCold("a", std::chrono::seconds(30));
     const std::size_t allowed = own.targets.allowance("a", ownRate);
     for (std::size_t i = 0; i < allowed; ++i) {
--- a/unittests/Routing/directorytest.cpp
+++ b/unittests/Routing/directorytest.cpp
@@ -1,4 +1,5 @@
-// Which targets may be given work, as the platform's list changes, lapses and comes back.
+// Checks which targets may receive work as the platform's list changes, loses entries and is
+// restored.
 #include "jaytrack/Routing/retrybudget.h"
 #include "jaytrack/Routing/targetdirectory.h"
 
@@ -14,10 +15,10 @@
 class Recorder final : public TargetDirectoryListener
 {
 public:
-    void onTargetCold(const TargetEntry &entry) override { this->cold.push_back(entry.id); }
+    void onTargetCold(const TargetEntry &entry) override { this->coldTargets.push_back(entry.id); }
     void onDataCentreUse(std::string_view dataCentre, bool outOfUse) override
     {
-        this->uses.push_back(std::string(dataCentre) + (outOfUse ? " out" : " back"));
+        this->useChanges.push_back(std::string(dataCentre) + (outOfUse ? " out" : " back"));
     }
     void onTargetLeaving(const TargetEntry &entry, std::string_view reason) override
     {
@@ -34,8 +35,8 @@
     }
 
     std::vector<std::string> events;
-    std::vector<std::string> uses;
-    std::vector<std::string> cold;
+    std::vector<std::string> useChanges;
+    std::vector<std::string> coldTargets;
 };
 
 TargetEntry entryOf(const std::string &id, bool leaving = false)
@@ -57,8 +58,8 @@
 
 } // namespace
 
-// Guards against targets of a data centre that is out of use among those that get work, whichever
-// is known first.
+// Guards against giving work to targets of a data centre that is out of use, whether the target or
+// the setting becomes known first.
 Test(targetDirectory, dataCentreOutOfUseGetsNoWork)
 {
     Recorder recorder;
@@ -69,16 +70,17 @@
     directory.put(entryIn("c", "south"));
     cr_assert_eq(directory.usable("svc").size(), 1);
     cr_assert_eq(directory.nonLeavingTargets("north").size(), 2);
-    cr_assert_neq(directory.find("a"), nullptr, "what runs there is still known");
+    cr_assert_neq(directory.find("a"), nullptr,
+                  "the target stays known because its work continues");
     cr_assert(directory.hasTargetsOutOfUse("svc"));
     directory.updateDataCentre({"north", 6, false});
     cr_assert_eq(directory.usable("svc").size(), 3);
     cr_assert_not(directory.hasTargetsOutOfUse("svc"));
     const std::vector<std::string> expected = {"north out", "north back"};
-    cr_assert(recorder.uses == expected);
+    cr_assert(recorder.useChanges == expected);
 }
 
-Test(targetDirectory, leavingTargetGetsNoWorkAndIsToldOnce)
+Test(targetDirectory, leavingTargetGetsNoWorkAndIsReportedOnce)
 {
     Recorder recorder;
     TargetDirectory directory(recorder);
@@ -92,8 +94,8 @@
     cr_assert(recorder.events == expected);
 }
 
-// Symptom: a target that announced its leaving gets work again.
-// Events: the announcement is read from a newer answer; an older listing arrives after it.
+// Guards against giving work to a target that has announced that it is leaving, when an older
+// listing arrives after the announcement.
 Test(targetDirectory, leavingIsNeverTakenBack)
 {
     Recorder recorder;
@@ -105,25 +107,25 @@
 
 namespace {
 
-enum Fact { Ready, Leaving, Told, Reported, Removed, Unusable };
+enum EventKind { Ready, Leaving, Announced, Reported, Removed, Unusable };
 
-// One thing that an instance hears of the target "a", in the order of the table.
-struct Heard
+// An event about the target "a", in the order of the case.
+struct Event
 {
-    Fact fact;
-    int startedAt; // 0 for untold
+    EventKind kind;
+    int startedAt; // 0 if not reported
 };
 
-struct LifeCase
+struct IncarnationCase
 {
     char name[48];
-    Heard heard[4];
+    Event steps[4];
     int count;
-    char events[96]; // what the rest of the instance is told
-    bool usable;     // in the end
+    char events[96]; // expected listener events
+    bool usable;     // after the last event
 };
 
-TargetEntry lifeOf(int startedAt, bool leaving)
+TargetEntry incarnationEntry(int startedAt, bool leaving)
 {
     TargetEntry entry = entryOf("a", leaving);
     entry.startedAt = StartTime(startedAt);
@@ -131,18 +133,18 @@
     return entry;
 }
 
-void hear(TargetDirectory &directory, const Heard &heard, int listedBefore)
+void applyEvent(TargetDirectory &directory, const Event &event, int listedBefore)
 {
-    switch (heard.fact) {
+    switch (event.kind) {
     case Ready:
     case Leaving:
-        return directory.put(lifeOf(heard.startedAt, heard.fact == Leaving));
-    case Told:
-        directory.markLeaving(incarnationId("a", StartTime(heard.startedAt)), "told");
+        return directory.put(incarnationEntry(event.startedAt, event.kind == Leaving));
+    case Announced:
+        directory.markLeaving(incarnationId("a", StartTime(event.startedAt)), "told");
         return;
     case Reported:
         return directory.updateStartTime(incarnationId("a", StartTime(listedBefore)),
-                                         StartTime(heard.startedAt));
+                                         StartTime(event.startedAt));
     case Removed:
         return directory.remove("a", false);
     case Unusable:
@@ -152,30 +154,30 @@
 
 } // namespace
 
-// Symptom: an engine that drained and started again under its name never gets work; or one that is
-// gone gets it. Events: entries, the engine's own reports and removals arrive in any order and
-// late.
-ParameterizedTestParameters(targetDirectory, livesUnderOneName)
+// Guards against an engine that drained and restarted under its name but never receives work, and
+// against giving work to one that has left. Entries, reports by the engine itself and removals may
+// arrive late and in any order.
+ParameterizedTestParameters(targetDirectory, incarnationsUnderOneName)
 {
-    static LifeCase cases[] = {
-            {"drained, then back",
+    static IncarnationCase cases[] = {
+            {"drained, then restarted",
              {{Leaving, 5}, {Ready, 9}},
              2,
              "a@5 listed_leaving|a@5 restarted|a@9 listed",
              true},
-            {"restart without a word",
+            {"restart without announcement",
              {{Ready, 5}, {Ready, 9}},
              2,
              "a@5 listed|a@5 restarted|a@9 listed",
              true},
             {"older entry late", {{Ready, 9}, {Ready, 5}}, 2, "a@9 listed", true},
             {"older leaving late", {{Ready, 9}, {Leaving, 5}}, 2, "a@9 listed", true},
-            {"older entry after the end",
+            {"older entry after the removal",
              {{Ready, 9}, {Removed, 0}, {Ready, 5}},
              3,
              "a@9 listed|a@9 unlisted",
              false},
-            {"same life back after a lapse",
+            {"same incarnation back after expiry",
              {{Ready, 9}, {Removed, 0}, {Ready, 9}},
              3,
              "a@9 listed|a@9 unlisted|a@9 listed",
@@ -190,75 +192,84 @@
              3,
              "a@5 listed|a@5 restarted",
              false},
-            {"report of the same life", {{Ready, 5}, {Reported, 5}}, 2, "a@5 listed", true},
-            {"late report of an older life", {{Ready, 9}, {Reported, 5}}, 2, "a@9 listed", true},
-            {"leaving in the same life",
+            {"report of the same incarnation", {{Ready, 5}, {Reported, 5}}, 2, "a@5 listed", true},
+            {"late report of an older incarnation",
+             {{Ready, 9}, {Reported, 5}},
+             2,
+             "a@9 listed",
+             true},
+            {"leaving in the same incarnation",
              {{Leaving, 5}, {Ready, 5}},
              2,
              "a@5 listed_leaving",
              false},
-            {"twice again",
+            {"two restarts",
              {{Ready, 5}, {Ready, 9}, {Leaving, 9}, {Ready, 12}},
              4,
              "a@5 listed|a@5 restarted|a@9 listed|a@9 announced|a@9 restarted|a@12 listed",
              true},
-            {"left, lapsed, back as it was",
+            {"left, expired, listed as before",
              {{Leaving, 5}, {Removed, 0}, {Ready, 5}},
              3,
              "a@5 listed_leaving|a@5 listed_leaving",
              false},
-            {"told, lapsed, back as it was",
-             {{Ready, 5}, {Told, 5}, {Removed, 0}, {Ready, 5}},
+            {"announced, expired, listed as before",
+             {{Ready, 5}, {Announced, 5}, {Removed, 0}, {Ready, 5}},
              4,
              "a@5 listed|a@5 told|a@5 listed_leaving",
              false},
-            {"told before it is listed", {{Told, 5}, {Ready, 5}}, 2, "a@5 listed_leaving", false},
-            {"told, then the next life",
-             {{Ready, 5}, {Told, 5}, {Ready, 9}},
+            {"announced before it is listed",
+             {{Announced, 5}, {Ready, 5}},
+             2,
+             "a@5 listed_leaving",
+             false},
+            {"announced, then the next incarnation",
+             {{Ready, 5}, {Announced, 5}, {Ready, 9}},
              3,
              "a@5 listed|a@5 told|a@5 restarted|a@9 listed",
              true},
-            {"untold start", {{Ready, 0}, {Reported, 9}}, 2, "a listed", true},
-            {"start told only later",
+            {"start not reported", {{Ready, 0}, {Reported, 9}}, 2, "a listed", true},
+            {"start reported only later",
              {{Leaving, 0}, {Ready, 9}},
              2,
              "a listed_leaving|a restarted|a@9 listed",
              true},
-            {"overwritten, then mended",
+            {"overwritten, then repaired",
              {{Ready, 5}, {Unusable, 0}, {Ready, 5}},
              3,
              "a@5 listed",
              true},
             {"overwritten", {{Ready, 5}, {Unusable, 0}}, 2, "a@5 listed", false},
             {"overwritten without its start", {{Ready, 5}, {Ready, 0}}, 2, "a@5 listed", false},
-            {"overwritten, then back in a new life",
+            {"overwritten, then a new incarnation",
              {{Ready, 5}, {Unusable, 0}, {Ready, 9}},
              3,
              "a@5 listed|a@5 restarted|a@9 listed",
              true}};
-    return cr_make_param_array(LifeCase, cases, std::size(cases));
+    return cr_make_param_array(IncarnationCase, cases, std::size(cases));
 }
 
-ParameterizedTest(LifeCase *param, targetDirectory, livesUnderOneName)
+ParameterizedTest(IncarnationCase *param, targetDirectory, incarnationsUnderOneName)
 {
     Recorder recorder;
     TargetDirectory directory(recorder);
     int listed = 0;
     for (int i = 0; i < param->count; ++i) {
-        hear(directory, param->heard[i], listed);
-        if (param->heard[i].fact == Ready || param->heard[i].fact == Leaving)
-            listed = std::max(listed, param->heard[i].startedAt);
+        applyEvent(directory, param->steps[i], listed);
+        if (param->steps[i].kind == Ready || param->steps[i].kind == Leaving)
+            listed = std::max(listed, param->steps[i].startedAt);
     }
-    std::string told;
+    std::string received;
     for (const std::string &event : recorder.events)
-        told += (told.empty() ? "" : "|") + event;
-    cr_assert_eq(told, std::string(param->events), "%s: %s", param->name, told.c_str());
+        received += (received.empty() ? "" : "|") + event;
+    cr_assert_eq(received, std::string(param->events), "%s: %s", param->name, received.c_str());
     cr_assert_eq(!directory.usable("svc").empty(), param->usable, "%s", param->name);
 }
 
-// Symptom: a whole listing with one bad entry moves the runs of a healthy engine away.
-// Events: another writer overwrites the engine's entry; a listing is read before it is mended.
-Test(targetDirectory, unusableEntryInAListingSuspendsOnly)
+// Guards against moving the runs of a healthy engine because of one bad entry in a listing. This
+// happens when another writer overwrites the engine's entry and a listing is read before it is
+// repaired.
+Test(targetDirectory, unusableEntryInListingOnlySuspends)
 {
     Recorder recorder;
     TargetDirectory directory(recorder);
@@ -266,17 +277,17 @@
     directory.put(entryOf("b"));
     directory.replaceAll({{entryOf("b")}, {"a"}}, false);
     cr_assert_eq(directory.usable("svc").size(), 1);
-    cr_assert_not_null(directory.find("a"), "its runs go on");
+    cr_assert_not_null(directory.find("a"), "its runs continue");
     directory.put(entryOf("a"));
     cr_assert_eq(directory.usable("svc").size(), 2);
     const std::vector<std::string> expected = {"a listed", "b listed"};
     cr_assert(recorder.events == expected);
 }
 
-// Symptom: all requests are refused for seconds after an outage of the store.
-// Events: entries lapse while the store is away; it returns with an empty list; targets that live
-// are back on it within two seconds. Cause: what the list lacked was taken for gone at once.
-Test(targetDirectory, lapsedEntriesAreKeptUntilTheGraceEnds)
+// Guards against refusing all requests for seconds after an outage of the store. Entries expire
+// during the outage, and the store returns with an empty list; live targets are listed again within
+// two seconds, but missing entries were treated as removed at once.
+Test(targetDirectory, expiredEntriesAreKeptDuringGracePeriod)
 {
     Recorder recorder;
     TargetDirectory directory(recorder);
@@ -290,7 +301,7 @@
     cr_assert_eq(recorder.events.back(), std::string("dead missing_after_outage"));
 }
 
-Test(targetDirectory, calmListingDropsWhatItLacks)
+Test(targetDirectory, listingOutsideGraceRemovesMissingTargets)
 {
     Recorder recorder;
     TargetDirectory directory(recorder);
--- a/unittests/Routing/enginechoicetest.cpp
+++ b/unittests/Routing/enginechoicetest.cpp
@@ -1,4 +1,4 @@
-// Placement under the loads that it answers.
+// Checks the placement of generations under load and when engines leave or fail.
 #include "jaytrack/Routing/enginechoice.h"
 
 #include <criterion/criterion.h>
@@ -47,12 +47,12 @@
     return load;
 }
 
-// Some instances before the same engines; notices pass between them or not.
-class Instances
+// Several instances that use the same engines and may exchange notices.
+class InstanceGroup
 {
 public:
-    Instances(int instances, const std::vector<TargetEntry> &engines, bool notices)
-        : passNotices(notices)
+    InstanceGroup(int instances, const std::vector<TargetEntry> &engines, bool notices)
+        : sendsNotices(notices)
     {
         for (int i = 0; i < instances; ++i) {
             this->choices.push_back(std::make_unique<EngineChoice>(
@@ -64,7 +64,7 @@
         }
     }
 
-    // One instance places a prompt; returns when its reading begins after it came.
+    // Places a prompt from one instance; returns the delay until the engine starts to read it.
     Duration place(std::size_t instance, std::span<const TargetEntry *const> engines, int serial)
     {
         const GenerationNeed need{3000, 400};
@@ -72,7 +72,7 @@
                 this->choices[instance]->choose(engines, makeTraits(), need, {});
         cr_assert_not_null(chosen);
         this->choices[instance]->recordStart(chosen->id, std::to_string(serial), need);
-        for (std::size_t i = 0; this->passNotices && i < this->choices.size(); ++i) {
+        for (std::size_t i = 0; this->sendsNotices && i < this->choices.size(); ++i) {
             if (i != instance)
                 this->choices[i]->recordRemotePlacement(chosen->id, need, false);
         }
@@ -86,17 +86,17 @@
     ManualClock clock;
 
 private:
-    bool passNotices;
+    bool sendsNotices;
     std::vector<std::unique_ptr<EngineChoice>> choices;
     std::map<std::string, TimePoint> busy;
 };
 
-// The mean wait of a burst of prompts until their reading begins, in milliseconds.
+// Returns the mean delay in milliseconds until the prompts of a burst start to be read.
 double meanDelay(bool notices)
 {
     const std::vector<TargetEntry> engines = makeEngines(16, 16);
     const auto list = pointers(engines);
-    Instances instances(7, engines, notices);
+    InstanceGroup instances(7, engines, notices);
     double total = 0;
     constexpr int requests = 40;
     for (int i = 0; i < requests; ++i) {
@@ -110,10 +110,10 @@
 
 } // namespace
 
-// Symptom: first tokens come seconds late while other engines read nothing.
-// Events: prompts arrive at several instances within one report of the engines' load.
-// Cause: each instance knew only what it had sent itself.
-Test(engineChoice, noticesKeepPromptsFromQueueing)
+// Guards against first tokens that are seconds late while other engines are idle. This happens when
+// prompts arrive at several instances within one report interval of the engines' load and each
+// instance knows only what it has sent itself.
+Test(engineChoice, noticesReducePromptDelay)
 {
     const double without = meanDelay(false);
     const double with = meanDelay(true);
@@ -121,8 +121,8 @@
     cr_assert(with < without / 3, "with %.1f, without %.1f", with, without);
 }
 
-// Symptom: generations are preempted midway at engines that were full when they came.
-// Events: reports show all engines but one beyond the part for new generations.
+// Guards against generations that are preempted because their engines were already full when they
+// arrived. All engines but one report more memory in use than new generations may fill.
 Test(engineChoice, fullEnginesGetNoNewGeneration)
 {
     const std::vector<TargetEntry> engines = makeEngines(4, 4);
@@ -141,26 +141,26 @@
 
 namespace {
 
-// A load of long generations that takes every room that it is given, with the options of before and
-// of now.
-struct CrowdCase
+// Long generations that take all admitted memory, with a common limit for all generations and with
+// the default limits.
+struct OverloadCase
 {
     char name[24];
     double newRunShare;
     double urgentShare;
     bool urgentKeepsEvacuationReserve;
-    int least; // of 100 short generations with long prompts
-    int most;
+    int minServed; // of 100 short generations with long prompts
+    int maxServed;
 };
 
-// Engines of 21,800 tokens under more long generations than they hold: whenever one ends, two more
-// ask for its room.
-class CrowdedEngines
+// Engines of 21,800 tokens with more long generations than they hold: whenever one ends, two more
+// request its memory.
+class OverloadedEngines
 {
 public:
     static constexpr int count = 40;
 
-    explicit CrowdedEngines(const EngineChoiceOptions &options)
+    explicit OverloadedEngines(const EngineChoiceOptions &options)
         : engines(makeEngines(count, count))
         , choice(this->clock, 7, "dc0", options)
     {
@@ -171,11 +171,11 @@
             this->placeLong();
     }
 
-    // An engine leaves, and its runs seek room.
-    void loseOne() { this->choice.onRemoved(this->engines.back().id); }
+    // Removes an engine, whose runs need memory elsewhere.
+    void removeEngine() { this->choice.onRemoved(this->engines.back().id); }
 
-    // Of 100 short generations with prompts of that size, those that find room.
-    int servedShortOnes(std::uint32_t promptTokens)
+    // Returns how many of 100 short generations with prompts of the given size find an engine.
+    int countServedShort(std::uint32_t promptTokens)
     {
         int served = 0;
         for (int i = 0; i < 100; ++i) {
@@ -225,38 +225,38 @@
 
 } // namespace
 
-// Symptom: of the short generations with the longest prompts half are refused, while the others are
-// served nearly always. Events: long generations take every room as it comes free, and keep it for
-// ten seconds; an engine has just left. Cause: long ones may fill the engines up to where short
-// ones are refused, and short ones leave the same room to refugees though they give it back at
-// once.
-ParameterizedTestParameters(engineChoice, largestShortOnesFindRoomInACrowd)
+// Guards against refusing half of the short generations with the longest prompts while nearly all
+// others are served. Long generations take all memory as it becomes free and keep it for ten
+// seconds, and an engine has just left. The failure occurs if long generations may fill the engines
+// up to the limit at which short ones are refused, and if short ones leave the evacuation reserve
+// free although they release their memory almost at once.
+ParameterizedTestParameters(engineChoice, longPromptShortGenerationsFindMemoryUnderLoad)
 {
-    static const EngineChoiceOptions now;
-    static CrowdCase cases[] = {
-            {"before", 0.92, 0.95, true, 0, 45},
-            {"now", now.newRunShare, now.urgentShare, now.urgentKeepsEvacuationReserve, 80, 100}};
-    return cr_make_param_array(CrowdCase, cases, std::size(cases));
+    static const EngineChoiceOptions defaults;
+    static OverloadCase cases[] = {{"common limit", 0.92, 0.95, true, 0, 45},
+                                   {"defaults", defaults.newRunShare, defaults.urgentShare,
+                                    defaults.urgentKeepsEvacuationReserve, 80, 100}};
+    return cr_make_param_array(OverloadCase, cases, std::size(cases));
 }
 
-ParameterizedTest(CrowdCase *param, engineChoice, largestShortOnesFindRoomInACrowd)
+ParameterizedTest(OverloadCase *param, engineChoice, longPromptShortGenerationsFindMemoryUnderLoad)
 {
     EngineChoiceOptions options;
     options.newRunShare = param->newRunShare;
     options.urgentShare = param->urgentShare;
     options.urgentKeepsEvacuationReserve = param->urgentKeepsEvacuationReserve;
-    CrowdedEngines crowd(options);
-    crowd.loseOne();
-    const int served = crowd.servedShortOnes(4500);
-    cr_assert(served >= param->least && served <= param->most, "%s: %d of 100", param->name,
-              served);
+    OverloadedEngines overloaded(options);
+    overloaded.removeEngine();
+    const int served = overloaded.countServedShort(4500);
+    cr_assert(served >= param->minServed && served <= param->maxServed, "%s: %d of 100 served",
+              param->name, served);
 }
 
-// Symptom: a fifth of the runs that move to another engine pause for more than a fifth of a second.
-// Events: their engines leave; the emptiest refuges are reading prompts for a third of a second.
-// Cause: half a second of unread prompts weighed no more than half of a memory, though what a copy
-// lacks is read behind them.
-Test(engineChoice, runsSeekRefugeWhereLittleIsRead)
+// Guards against pauses of more than a fifth of a second for a fifth of the runs that move to
+// another engine. The engines with the most free memory were reading prompts for a third of a
+// second. Half a second of unread prompts cost no more than half of the memory, although the tokens
+// that a copy lacks are read after those prompts.
+Test(engineChoice, evacuationPrefersShortPromptQueues)
 {
     const std::vector<TargetEntry> engines = makeEngines(3, 3);
     for (const bool before : {true, false}) {
@@ -271,15 +271,15 @@
         choice.recordReport("e1", loadOf(4000));
         choice.recordRemotePlacement("e1", {2500, 400}, false);
         choice.recordReport("e2", loadOf(24000));
-        const TargetEntry *refuge = choice.chooseEvacuationTarget(pointers(engines), makeTraits(),
-                                                                  {3000, 400}, engines[0], {});
-        cr_assert_eq(refuge->id, std::string(before ? "e1" : "e2"));
+        const TargetEntry *destination = choice.chooseEvacuationTarget(
+                pointers(engines), makeTraits(), {3000, 400}, engines[0], {});
+        cr_assert_eq(destination->id, std::string(before ? "e1" : "e2"));
     }
 }
 
-// Symptom: callers wait for a first token that cannot come in time, and delay those after them.
-// Events: every engine has seconds of prompts to read.
-Test(engineChoice, enginesThatWouldBeLateAreNotTaken)
+// Guards against callers that wait for a first token which cannot arrive in time and that delay
+// later callers. Every engine has seconds of prompts to read.
+Test(engineChoice, enginesWithLongPromptQueuesAreRejected)
 {
     const std::vector<TargetEntry> engines = makeEngines(2, 2);
     const auto list = pointers(engines);
@@ -297,8 +297,8 @@
     cr_assert_not_null(choice.choose(list, makeTraits(), need, {}));
 }
 
-// Symptom: the longest prompts are served far less often than the others.
-// Cause: their own reading takes longer than the delay that is planned for.
+// Guards against serving the longest prompts far less often than others, because reading them alone
+// takes longer than the allowed delay.
 Test(engineChoice, longPromptsFindAnIdleEngine)
 {
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
@@ -310,10 +310,10 @@
     cr_assert_not_null(choice.choose(pointers(engines), makeTraits(), need, {}));
 }
 
-// Symptom: copies are refused for want of room at one engine while others are empty.
-// Events: all instances learn of a leaving in the same millisecond and know the same.
-// Cause: all choose the same refuge before their notices reach each other.
-Test(engineChoice, refugesAreSpreadWithinTheDataCentre)
+// Guards against copies that are refused by one full engine while others are empty. All instances
+// learn in the same millisecond that an engine is leaving, have the same information, and choose
+// the same destination before their notices reach each other.
+Test(engineChoice, evacuationsAreSpreadWithinDataCentre)
 {
     const std::vector<TargetEntry> engines = makeEngines(8, 4);
     const auto list = pointers(engines);
@@ -325,21 +325,20 @@
             choice.onListed(entry);
             choice.recordReport(entry.id, loadOf(entry.id == "e1" ? 5000 : 6000));
         }
-        const TargetEntry *refuge =
+        const TargetEntry *destination =
                 choice.chooseEvacuationTarget(list, makeTraits(), {3000, 400}, engines[0], {});
-        cr_assert_eq(refuge->dataCentre, std::string("dc0"));
-        ++taken[refuge->id];
+        cr_assert_eq(destination->dataCentre, std::string("dc0"));
+        ++taken[destination->id];
     }
-    cr_assert_eq(taken.size(), 3, "all three others of the data centre are used");
+    cr_assert_eq(taken.size(), 3, "all three other engines of the data centre are used");
     for (const auto &[id, count] : taken)
-        cr_assert(count < 30, "%s took %d of 40", id.c_str(), count);
+        cr_assert(count < 30, "%s received %d of 40 runs", id.c_str(), count);
 }
 
-// Symptom: callers are refused because engines are full, while the engines are two thirds empty.
-// Events: an engine reports much memory in use; runs of this and of other instances end; the next
-// report is a second away.
-// Cause: what ended since a report was not taken off what it says.
-Test(engineChoice, whatEndedSinceTheReportIsRoomAgain)
+// Guards against refusing callers because engines seem full while they are two thirds empty. An
+// engine reports much memory in use, runs of this and of other instances end, and the next report
+// is a second away; the ended runs were not subtracted from the report.
+Test(engineChoice, memoryReleasedSinceReportIsAvailable)
 {
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
     const auto list = pointers(engines);
@@ -358,14 +357,13 @@
     clock.advance(std::chrono::seconds(1));
     choice.recordReport("e0", loadOf(memoryTokens - 7200));
     cr_assert_float_eq(choice.forecast("e0").memoryTokens, memoryTokens - 7200, 1,
-                       "the report contains it, so it counts no longer");
+                       "the report contains the release, so it is not counted again");
 }
 
-// Symptom: an engine that has just started is given twice the prompts that it can read in time.
-// Events: other instances learn of the engine first and send it prompts; their notices come here
-// before its listing does.
-// Cause: notices about an engine that was not listed yet were dropped.
-Test(engineChoice, noticesBeforeTheListingCount)
+// Guards against sending an engine that has just started twice the prompts that it can read in
+// time. Other instances discover the engine first and send it prompts, and their notices arrive
+// here before its listing; notices about unlisted engines were dropped.
+Test(engineChoice, noticesBeforeListingCount)
 {
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
     ManualClock clock;
@@ -378,8 +376,8 @@
     cr_assert(choice.forecast("e0").delay > std::chrono::milliseconds(500));
 }
 
-// Symptom: generations are preempted midway although each was let in with room to spare.
-// Events: seven runs grow for a second after the engine's report.
+// Guards against generations that are preempted although each was admitted with memory to spare.
+// Seven runs grow for a second after the engine's report.
 Test(engineChoice, runsGrowBetweenReports)
 {
     const std::vector<TargetEntry> engines = makeEngines(1, 1);
@@ -394,14 +392,14 @@
     cr_assert_float_eq(choice.forecast("e0").memoryTokens - before, 7 * 90, 1);
 }
 
-// Symptom: runs of leaving engines find no room anywhere and break off.
-// Events: some engines leave at once; new generations take the last room of the others before the
-// runs have moved. Cause: both were let in up to the same part of the memory.
-Test(engineChoice, newGenerationsLeaveRoomToRunsOfLeavingEngines)
+// Guards against runs of leaving engines that find no memory anywhere and break off. Several
+// engines leave at once, and new generations take the last memory of the others before the runs
+// have moved, if both are admitted up to the same limit.
+Test(engineChoice, newGenerationsKeepEvacuationReserve)
 {
     const std::vector<TargetEntry> engines = makeEngines(5, 5);
-    const std::vector<const TargetEntry *> staying = {&engines[0], &engines[1], &engines[2],
-                                                      &engines[3]};
+    const std::vector<const TargetEntry *> remaining = {&engines[0], &engines[1], &engines[2],
+                                                        &engines[3]};
     const GenerationNeed need{3000, 400};
     ManualClock clock;
     EngineChoice choice(clock, 1, "dc0");
@@ -409,18 +407,19 @@
         choice.onListed(entry);
         choice.recordReport(entry.id, loadOf(22'000));
     }
-    cr_assert_not_null(choice.choose(staying, makeTraits(), need, {}));
+    cr_assert_not_null(choice.choose(remaining, makeTraits(), need, {}));
     choice.onRemoved("e4");
-    cr_assert_null(choice.choose(staying, makeTraits(), need, {}));
-    cr_assert_not_null(choice.chooseEvacuationTarget(staying, makeTraits(), need, engines[4], {}));
+    cr_assert_null(choice.choose(remaining, makeTraits(), need, {}));
+    cr_assert_not_null(
+            choice.chooseEvacuationTarget(remaining, makeTraits(), need, engines[4], {}));
     clock.advance(std::chrono::milliseconds(1500));
-    cr_assert_not_null(choice.choose(staying, makeTraits(), need, {}));
+    cr_assert_not_null(choice.choose(remaining, makeTraits(), need, {}));
 }
 
-// Symptom: dozens of requests are reset within seconds while other engines have room.
-// Events: an engine says that it is well and resets all that comes; it looks empty, so each of many
-// instances gives it the next request. Cause: each instance knew only its own one failure.
-Test(engineChoice, engineThatFailsSeveralInstancesIsLeftAlone)
+// Guards against dozens of requests being reset within seconds while other engines have memory. An
+// engine reports to be healthy and resets all requests; it looks idle, so each of many instances
+// sends it the next request if it knows only its own single failure.
+Test(engineChoice, engineThatFailsSeveralInstancesIsAvoided)
 {
     const std::vector<TargetEntry> engines = makeEngines(2, 2);
     const auto list = pointers(engines);
@@ -440,17 +439,17 @@
     choice.recordRemoteFailure("e0", "i3");
     clock.advance(std::chrono::milliseconds(3900));
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e1"),
-                 "one failure more, and twice as long");
+                 "one further failure doubles the time");
     clock.advance(std::chrono::milliseconds(200));
     choice.recordSuccess("e0");
     choice.recordRemoteFailure("e0", "i1");
     cr_assert_eq(choice.choose(list, makeTraits(), need, {})->id, std::string("e0"),
-                 "it has served since, so one failure is one again");
+                 "a success since then resets the failure count");
 }
 
-// Symptom: all instances leave good engines alone. Events: the way of one instance to the engines
-// is bad; it tells the others of each failure.
-Test(engineChoice, oneInstanceWithABadWayShutsNoEngineOut)
+// Guards against all instances avoiding healthy engines because one instance with a bad network
+// path to the engines notifies the others of each of its failures.
+Test(engineChoice, failuresOfOneInstanceDoNotExcludeEngine)
 {
     const std::vector<TargetEntry> engines = makeEngines(2, 2);
     ManualClock clock;
--- a/unittests/Routing/enginesharestest.cpp
+++ b/unittests/Routing/enginesharestest.cpp
@@ -14,8 +14,8 @@
 {
     int instances;
     int engines;
-    std::size_t mostSharers;  // instances that hear of one engine
-    std::size_t leastEngines; // to which one instance gives work
+    std::size_t maxAssignees; // instances assigned to one engine
+    std::size_t minEngines;   // engines assigned to one instance
 };
 
 std::string instanceName(int index)
@@ -28,7 +28,7 @@
     return "engine-" + std::to_string(index);
 }
 
-std::vector<EngineShares> sharesOf(const FleetCase &fleet)
+std::vector<EngineShares> makeShares(const FleetCase &fleet)
 {
     std::vector<EngineShares> all;
     for (int i = 0; i < fleet.instances; ++i) {
@@ -47,7 +47,7 @@
 
 } // namespace
 
-ParameterizedTestParameters(engineShares, fewHearOfAnEngineAndAllHaveEnough)
+ParameterizedTestParameters(engineShares, fewInstancesPerEngineAndEnoughEngines)
 {
     static FleetCase cases[] = {{7, 18, 7, 18},    {195, 59, 195, 59}, {73, 71, 73, 71},
                                 {33, 302, 16, 64}, {101, 998, 16, 64}, {302, 3001, 16, 64},
@@ -55,40 +55,44 @@
     return cr_make_param_array(FleetCase, cases, std::size(cases));
 }
 
-// Symptom: in a fleet of 302 each instance spends a core on what it is told. Events: each placement
-// at each of 3,001 engines is told to every instance. Cause: all place everywhere. The shares must
-// agree: whoever places at an engine hears of it, and exactly one instance asks it for its load.
-ParameterizedTest(FleetCase *fleet, engineShares, fewHearOfAnEngineAndAllHaveEnough)
+// Guards against the cost of notices in large fleets: in a fleet of 302, each instance spends a CPU
+// core on them if every instance is notified of each placement at each of 3,001 engines. The
+// assignments must agree: every instance that places work at an engine is notified about it, and
+// exactly one instance polls its load.
+ParameterizedTest(FleetCase *fleet, engineShares, fewInstancesPerEngineAndEnoughEngines)
 {
-    const std::vector<EngineShares> all = sharesOf(*fleet);
-    std::vector<std::size_t> own(all.size(), 0);
+    const std::vector<EngineShares> all = makeShares(*fleet);
+    std::vector<std::size_t> engineCounts(all.size(), 0);
     for (int engine = 0; engine < fleet->engines; ++engine) {
         const std::string id = engineName(engine);
-        std::size_t sharers = 0;
-        int asking = 0;
+        std::size_t assignees = 0;
+        int pollers = 0;
         for (std::size_t i = 0; i < all.size(); ++i) {
-            sharers += all[i].isAssigned(id) ? 1 : 0;
-            own[i] += all[i].isAssigned(id) ? 1 : 0;
-            asking += all[i].shouldPollLoad(id) ? 1 : 0;
+            assignees += all[i].isAssigned(id) ? 1 : 0;
+            engineCounts[i] += all[i].isAssigned(id) ? 1 : 0;
+            pollers += all[i].shouldPollLoad(id) ? 1 : 0;
             cr_assert(!all[i].shouldPollLoad(id) || all[i].isAssigned(id));
         }
-        cr_assert(sharers <= fleet->mostSharers, "%zu share one engine", sharers);
-        cr_assert(sharers >= std::min<std::size_t>(all.size(), 8), "%zu share one engine", sharers);
-        cr_assert(asking == 1);
+        cr_assert(assignees <= fleet->maxAssignees, "%zu instances are assigned to one engine",
+                  assignees);
+        cr_assert(assignees >= std::min<std::size_t>(all.size(), 8),
+                  "%zu instances are assigned to one engine", assignees);
+        cr_assert(pollers == 1);
         for (const std::string &other : all[0].otherAssignees(id)) {
             const int index = std::stoi(other.substr(other.find('-') + 1));
             cr_assert(all[static_cast<std::size_t>(index)].isAssigned(id));
         }
     }
-    const std::size_t least = *std::min_element(own.begin(), own.end());
-    cr_assert(least >= fleet->leastEngines, "an instance has %zu engines", least);
+    const std::size_t minCount = *std::min_element(engineCounts.begin(), engineCounts.end());
+    cr_assert(minCount >= fleet->minEngines, "one instance has only %zu engines", minCount);
 }
 
-// Symptom: a restart of one instance moves the engines of all. Cause: shares by position in a list.
-Test(engineShares, oneThatGoesMovesOnlyItsOwn)
+// Guards against a restart of one instance that reassigns the engines of all instances, as happens
+// if engines are assigned by position in a list.
+Test(engineShares, departureReassignsOnlyOwnEngines)
 {
     FleetCase fleet{101, 998, 16, 64};
-    std::vector<EngineShares> all = sharesOf(fleet);
+    std::vector<EngineShares> all = makeShares(fleet);
     std::vector<std::string> others;
     for (int other = 1; other < fleet.instances - 1; ++other)
         others.push_back(instanceName(other));
@@ -97,10 +101,10 @@
     for (int engine = 0; engine < fleet.engines; ++engine)
         before.push_back(first.isAssigned(engineName(engine)));
     first.setInstances(others);
-    int lost = 0;
+    int reassigned = 0;
     for (int engine = 0; engine < fleet.engines; ++engine) {
         const bool now = first.isAssigned(engineName(engine));
-        lost += before[static_cast<std::size_t>(engine)] && !now ? 1 : 0;
+        reassigned += before[static_cast<std::size_t>(engine)] && !now ? 1 : 0;
     }
-    cr_assert(lost == 0, "%d engines were taken from it", lost);
+    cr_assert(reassigned == 0, "%d engines were taken from a remaining instance", reassigned);
 }
--- a/unittests/Routing/knownfleettest.cpp
+++ b/unittests/Routing/knownfleettest.cpp
@@ -1,4 +1,4 @@
-// Which instances are counted on as they come and go.
+// Checks which instances count as they come and go.
 #include "jaytrack/Routing/knownfleet.h"
 
 #include <criterion/criterion.h>
@@ -13,8 +13,8 @@
 
 } // namespace
 
-// Guards against a part of a split fleet sharing out what the other part counts on too.
-Test(knownFleet, whoIsGoneIsCountedOnForAWhile)
+// Guards against one side of a network partition using shares that the other side uses too.
+Test(knownFleet, absentInstancesCountForRetention)
 {
     ManualClock clock;
     KnownFleet fleet(clock, {1h, 4s});
@@ -31,9 +31,9 @@
     cr_assert_eq(fleet.instances().size(), 1);
 }
 
-// Guards against an instance that started again passing for one that has been up all the while,
-// and against late news of members making an old instance a new one.
-Test(knownFleet, whoComesBackLateIsUpAnew)
+// Guards against treating a restarted instance as one that has been up throughout, and against
+// treating an old instance as new because of delayed membership updates.
+Test(knownFleet, lateReturnStartsNewUptime)
 {
     ManualClock clock;
     KnownFleet fleet(clock, {1h, 4s});
@@ -43,7 +43,8 @@
     fleet.setInstances(onlyA);
     clock.advance(3s);
     fleet.setInstances(both);
-    cr_assert(fleet.instances().at("b").upSince == first, "gone for a moment");
+    cr_assert(fleet.instances().at("b").upSince == first,
+              "a short absence does not reset the uptime");
     fleet.setInstances(onlyA);
     const KnownFleet::Instance &gone = fleet.instances().at("b");
     cr_assert(fleet.absenceDeadline(gone) == clock.now() + 4s);
--- a/unittests/Routing/retrybudgettest.cpp
+++ b/unittests/Routing/retrybudgettest.cpp
@@ -12,28 +12,28 @@
 
 constexpr std::chrono::seconds window{10};
 
-// A fleet whose requests all want a repeat, as when every target of a service fails.
+// A fleet in which every request needs a retry, as when every target of a service fails.
 struct FleetCase
 {
     int instances;
     double slack;
     double requestsPerSecond; // of one instance
-    int restartAtSecond;      // all lose their power; -1 for never
+    int restartAtSecond;      // all instances restart; -1 for never
 };
 
-struct Moment
+struct Second
 {
     int second;
     int requests;
-    int repeats;
+    int retries;
 };
 
-double sumOver(const std::deque<Moment> &moments, int from, int Moment::*what)
+double sumInWindow(const std::deque<Second> &history, int from, int Second::*member)
 {
     double sum = 0;
-    for (const Moment &one : moments) {
+    for (const Second &one : history) {
         if (one.second >= from && one.second < from + window.count())
-            sum += one.*what;
+            sum += one.*member;
     }
     return sum;
 }
@@ -50,10 +50,9 @@
 
 } // namespace
 
-// Symptom: repeats of all instances together exceed the operators' bound.
-// Events: a calm minute, then a storm in which every request wants a repeat.
-// Cause: repeats that were saved up over several windows were spent within one.
-Test(retryBudget, savingsNeverExceedOneWindow)
+// Guards against retries of all instances together that exceed the operators' bound. After a quiet
+// minute every request needs a retry, and retries saved over several windows were spent within one.
+Test(retryBudget, savingsStayWithinOneWindow)
 {
     ManualClock clock;
     RetryBudget budget(clock, {0.2, std::chrono::seconds(10)});
@@ -65,11 +64,11 @@
     int taken = 0;
     while (budget.take("svc"))
         ++taken;
-    cr_assert(taken <= 20, "%d repeats for the 100 requests of a window", taken);
+    cr_assert(taken <= 20, "%d retries for the 100 requests of a window", taken);
     cr_assert(taken >= 10, "%d", taken);
 }
 
-Test(retryBudget, idleInstanceHasAFew)
+Test(retryBudget, idleInstanceHasTwoRetries)
 {
     ManualClock clock;
     RetryBudget budget(clock, {0.2, std::chrono::seconds(10)});
@@ -78,7 +77,7 @@
     cr_assert_not(budget.take("svc"));
 }
 
-ParameterizedTestParameters(retryBudget, sumsOfTheFleetHold)
+ParameterizedTestParameters(retryBudget, fleetStaysWithinBound)
 {
     static FleetCase cases[] = {{7, 54, 5, -1},       {7, 54, 0.1, 31},     {195, 430, 0.5, -1},
                                 {195, 430, 0.5, 31},  {195, 430, 0.05, 31}, {340, 430, 0.5, 31},
@@ -86,43 +85,43 @@
     return cr_make_param_array(FleetCase, cases, std::size(cases));
 }
 
-// Symptom: a fleet of hundreds repeats more than the operators allow. Events: every target of a
-// service fails, and all instances start again in the midst of it. Cause: two repeats out of
-// nothing for each instance and start, 1,360 for 340 instances, where the slack is 430.
-ParameterizedTest(FleetCase *fleet, retryBudget, sumsOfTheFleetHold)
+// Guards against a fleet of hundreds of instances that retries more than the operators allow. Every
+// target of a service fails, and all instances restart meanwhile. Two unearned retries for each
+// instance and start add up to 1,360 for 340 instances, where the slack is 430.
+ParameterizedTest(FleetCase *fleet, retryBudget, fleetStaysWithinBound)
 {
     ManualClock clock;
     std::mt19937_64 random(1);
     std::vector<RetryBudget> budgets = startFleet(clock, *fleet);
     std::poisson_distribution<int> arrivals(fleet->requestsPerSecond);
-    std::deque<Moment> moments;
+    std::deque<Second> history;
     for (int second = 0; second < 60; ++second) {
         if (second == fleet->restartAtSecond)
             budgets = startFleet(clock, *fleet);
-        Moment now{second, 0, 0};
+        Second now{second, 0, 0};
         const bool failing = second >= 25;
         for (RetryBudget &budget : budgets) {
             for (int count = arrivals(random); count > 0; --count) {
                 ++now.requests;
                 budget.earn("svc");
-                now.repeats += failing && budget.take("svc") ? 1 : 0;
+                now.retries += failing && budget.take("svc") ? 1 : 0;
             }
         }
-        moments.push_back(now);
+        history.push_back(now);
         clock.advance(std::chrono::seconds(1));
     }
     for (int from = 0; from + window.count() <= 60; ++from) {
-        const double repeats = sumOver(moments, from, &Moment::repeats);
-        const double allowed = 0.2 * sumOver(moments, from, &Moment::requests) + fleet->slack;
-        cr_assert(repeats <= allowed, "%f repeats from second %d, allowed %f", repeats, from,
+        const double retries = sumInWindow(history, from, &Second::retries);
+        const double allowed = 0.2 * sumInWindow(history, from, &Second::requests) + fleet->slack;
+        cr_assert(retries <= allowed, "%f retries from second %d, allowed %f", retries, from,
                   allowed);
     }
 }
 
-// Symptom: a request that met one broken target fails in a large fleet, though the bound allows its
-// repeat. Cause: an instance that sees a request in two seconds earns less than one repeat in a
-// window, and may save up no more than that.
-Test(retryBudget, rareRequestsCanBeRepeated)
+// Guards against requests that fail after one broken target in a large fleet although the bound
+// allows their retry. An instance that receives one request every two seconds earns less than one
+// retry per window and must be able to save more than that.
+Test(retryBudget, infrequentRequestsCanBeRetried)
 {
     ManualClock clock;
     RetryBudget budget(clock, {0.2, window, 430});
@@ -133,5 +132,5 @@
         taken += budget.take("svc") ? 1 : 0;
         clock.advance(std::chrono::seconds(2));
     }
-    cr_assert(taken >= 4, "%d repeats for 60 requests, of which a tenth may be repeated", taken);
+    cr_assert(taken >= 4, "%d retries for 60 requests, of which a tenth may be retried", taken);
 }
