--- a/unittests/Routing/enginechoicetest.cpp
+++ b/unittests/Routing/enginechoicetest.cpp
@@ -141,8 +141,8 @@
 
 namespace {
 
-// Long generations that take all admitted memory, with a common limit for all generations and with
-// the default limits.
+// Long generations that take all admitted memory, with nearly the same limit for long and short
+// generations and with the default limits.
 struct OverloadCase
 {
     char name[24];
@@ -233,7 +233,7 @@
 ParameterizedTestParameters(engineChoice, longPromptShortGenerationsFindMemoryUnderLoad)
 {
     static const EngineChoiceOptions defaults;
-    static OverloadCase cases[] = {{"common limit", 0.92, 0.95, true, 0, 45},
+    static OverloadCase cases[] = {{"near-equal limits", 0.92, 0.95, true, 0, 45},
                                    {"defaults", defaults.newRunShare, defaults.urgentShare,
                                     defaults.urgentKeepsEvacuationReserve, 80, 100}};
     return cr_make_param_array(OverloadCase, cases, std::size(cases));
@@ -254,16 +254,16 @@
 
 // Guards against pauses of more than a fifth of a second for a fifth of the runs that move to
 // another engine. The engines with the most free memory were reading prompts for a third of a
-// second. Half a second of unread prompts cost no more than half of the memory, although the tokens
-// that a copy lacks are read after those prompts.
+// second. With the delay weight of new runs, half a second of unread prompts costs no more than
+// half of the memory, although the tokens that a copy lacks are read after those prompts.
 Test(engineChoice, evacuationPrefersShortPromptQueues)
 {
     const std::vector<TargetEntry> engines = makeEngines(3, 3);
-    for (const bool before : {true, false}) {
+    for (const bool usesNewRunWeight : {true, false}) {
         ManualClock clock;
         EngineChoiceOptions options;
         options.evacuationCostJitter = 0;
-        if (before)
+        if (usesNewRunWeight)
             options.evacuationDelayWeight = options.delayWeight;
         EngineChoice choice(clock, 1, "dc0", options);
         for (const TargetEntry &entry : engines)
@@ -273,7 +273,7 @@
         choice.recordReport("e2", loadOf(24000));
         const TargetEntry *destination = choice.chooseEvacuationTarget(
                 pointers(engines), makeTraits(), {3000, 400}, engines[0], {});
-        cr_assert_eq(destination->id, std::string(before ? "e1" : "e2"));
+        cr_assert_eq(destination->id, std::string(usesNewRunWeight ? "e1" : "e2"));
     }
 }
 
