--- a/include/jaytrack/Routing/routingtable.h
+++ b/include/jaytrack/Routing/routingtable.h
@@ -64,14 +64,14 @@
     std::uint32_t tokensPerEvent = 1;
     bool movesRuns = false;
     bool keepsBackups = false;
-    std::chrono::milliseconds handleLife{0}; // how long the destination keeps an unused copy
+    std::chrono::milliseconds handleLifetime{0}; // how long the destination keeps an unused copy
 };
 
 // The load that a target accepts after it has started or has become cold again.
 struct ColdTraits
 {
     double requestsPerSecond = 0; // summed over all instances; 0 is unbounded
-    std::chrono::milliseconds lasts{0};
+    std::chrono::milliseconds duration{0};
 };
 
 // A service: a group of targets that do the same work.
--- a/include/jaytrack/Routing/runplan.h
+++ b/include/jaytrack/Routing/runplan.h
@@ -24,17 +24,17 @@
     bool movesRuns = false; // engines copy a run on request
     bool mayRunAgain = false;
     // An engine drops a copy that is not used within this time.
-    Duration copyLife = std::chrono::seconds(5);
+    Duration copyLifetime = std::chrono::seconds(5);
     // Delay before the first copy after an engine announces that it leaves; the caller draws it at
     // random. All instances learn of the announcement in the same millisecond. With random delays,
     // each knows from the notices of the others which memory is already taken.
-    Duration firstPause{0};
+    Duration firstCopyDelay{0};
     // Maximum copy attempts per leaving engine. A refusal costs one round trip and comes from a
     // full engine.
     int maxCopyAttempts = 12;
     // Delay after a refusal. Engines that are full have memory again some tenths of a second later,
     // and a leaving engine leaves about a second and a half for copies.
-    Duration retryPause = std::chrono::milliseconds(80);
+    Duration copyRetryDelay = std::chrono::milliseconds(80);
 };
 
 enum class RunStepKind {
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrybeliefs.cpp
@@ -77,7 +77,7 @@
 {
     const ServiceRule *service = this->serviceOf(entry);
     if (service != nullptr && service->cold.requestsPerSecond > 0)
-        this->noteCold(entry.id, service->cold.lasts + untilEntriesTell, "data_centre_back");
+        this->noteCold(entry.id, service->cold.duration + untilEntriesTell, "data_centre_back");
 }
 
 // What was known of the engines' load is old when they come back, and would be forecast to have
--- a/lib/Proxy/streamexchange.cpp
+++ b/lib/Proxy/streamexchange.cpp
@@ -41,11 +41,11 @@
 {
     RunPlanOptions options;
     std::uniform_int_distribution<std::int64_t> pause(0, streams.mostFirstPause.count());
-    options.firstPause = std::chrono::milliseconds(pause(random));
+    options.firstCopyDelay = std::chrono::milliseconds(pause(random));
     options.movesRuns = traits.movesRuns;
     options.mayRunAgain = mayRunAgain(kind);
-    if (traits.handleLife.count() > 0)
-        options.copyLife = traits.handleLife;
+    if (traits.handleLifetime.count() > 0)
+        options.copyLifetime = traits.handleLifetime;
     return options;
 }
 
--- a/lib/Routing/runplan.cpp
+++ b/lib/Routing/runplan.cpp
@@ -29,7 +29,7 @@
 {
     this->copying = false;
     this->refused.insert(std::string(at));
-    this->nextCopyAt = this->clock.now() + this->options.retryPause;
+    this->nextCopyAt = this->clock.now() + this->options.copyRetryDelay;
 }
 
 void RunPlan::copyRefused()
@@ -47,7 +47,7 @@
     if (this->running != id || this->leaving)
         return;
     this->leaving = true;
-    this->nextCopyAt = this->clock.now() + this->options.firstPause;
+    this->nextCopyAt = this->clock.now() + this->options.firstCopyDelay;
 }
 
 void RunPlan::engineLost()
@@ -58,7 +58,7 @@
 
 bool RunPlan::copyUsable() const
 {
-    return this->copy && this->clock.now() - this->copy->madeAt < this->options.copyLife;
+    return this->copy && this->clock.now() - this->copy->madeAt < this->options.copyLifetime;
 }
 
 std::string_view RunPlan::copyHolder() const
--- a/unittests/Platform/dialecttest.cpp
+++ b/unittests/Platform/dialecttest.cpp
@@ -193,7 +193,7 @@
     cr_assert(route.longestPause == std::chrono::milliseconds(180));
     cr_assert_eq(route.services.size(), 2);
     cr_assert_eq(table.value().serviceNamed("s")->engine->memoryTokens, 34232);
-    cr_assert(table.value().serviceNamed("s")->engine->handleLife == std::chrono::seconds(5));
+    cr_assert(table.value().serviceNamed("s")->engine->handleLifetime == std::chrono::seconds(5));
     cr_assert_eq(table.value().limits.headerBytes, 100);
     cr_assert_eq(table.value().limits.bodyBytes, CallerLimits().bodyBytes);
     cr_assert_eq(table.value().holderOf("k2")->customer, std::string("c"));
--- a/unittests/Routing/runplantest.cpp
+++ b/unittests/Routing/runplantest.cpp
@@ -139,7 +139,7 @@
 Test(runPlan, firstCopyIsDelayed)
 {
     RunPlanOptions options = movableOptions();
-    options.firstPause = std::chrono::milliseconds(60);
+    options.firstCopyDelay = std::chrono::milliseconds(60);
     PlanFixture run(options);
     run.plan.eventProduced();
     run.plan.engineLeaving("e1");
