--- a/include/jaytrack/Limits/limitgate.h
+++ b/include/jaytrack/Limits/limitgate.h
@@ -16,28 +16,28 @@
 
 class Metrics;
 
-// onNews(), setInstances() and tick() are for the loop's thread, the rest for any. Spread is called
-// from the thread of whoever calls, under the gate's lock, and must not come back here.
+// onMessage(), setInstances() and tick() are for the loop's thread, the rest for any. Spread is
+// called from the thread of whoever calls, under the gate's lock, and must not come back here.
 class LimitGate
 {
 public:
     using Decided = TargetLimits::Decided;
 
     LimitGate(asio::io_context &loop, const Clock &time, std::string ownName,
-              std::size_t expectedOthers, std::uint64_t seed, LimitSpread &others,
+              std::size_t expectedOthers, std::uint64_t seed, LimitTransport &others,
               Metrics &counters);
     ~LimitGate();
     LimitGate(const LimitGate &) = delete;
     LimitGate &operator=(const LimitGate &) = delete;
 
     void setInstances(std::span<const std::string> others);
-    void onNews(std::string_view from, const LimitNews &news);
+    void onMessage(std::string_view from, const LimitMessage &news);
     void tick();
 
     // The target named a limit in an answer, or none in the answer to a request that was sent so
     // long ago.
-    void named(std::string_view target, double perSecond);
-    void namedNone(std::string_view target, Duration sentAgo);
+    void recordLimit(std::string_view target, double perSecond);
+    void recordNoLimit(std::string_view target, Duration sentAgo);
 
     // The target's life ended.
     void forget(std::string_view target);
@@ -45,7 +45,7 @@
     std::optional<double> limitOf(std::string_view target) const;
 
     // How long no request had better be asked for; zero if one may be asked for now.
-    Duration rest(std::string_view target) const;
+    Duration remainingBackoff(std::string_view target) const;
 
     // Asks for one request to the target, as TargetLimits::request() does. The function is called
     // from the loop's thread.
@@ -60,8 +60,8 @@
     void countSent(std::string_view target);
 
     // The time between two questions about the load of a target that is usually asked so often.
-    std::chrono::milliseconds questionGap(std::string_view target,
-                                          std::chrono::milliseconds usual) const;
+    std::chrono::milliseconds probeInterval(std::string_view target,
+                                            std::chrono::milliseconds usual) const;
 
 private:
     struct PatientRequest;
--- a/include/jaytrack/Limits/limitnews.h
+++ b/include/jaytrack/Limits/limitmessage.h
@@ -1,6 +1,6 @@
 // What instances tell each other of targets that name limits, and its form on the wire.
-#ifndef JAYTRACK_LIMITS_LIMITNEWS_H
-#define JAYTRACK_LIMITS_LIMITNEWS_H
+#ifndef JAYTRACK_LIMITS_LIMITMESSAGE_H
+#define JAYTRACK_LIMITS_LIMITMESSAGE_H
 
 #include "jaytrack/Limits/namedlimits.h"
 
@@ -30,7 +30,7 @@
     NamedLimits::Word word; // what the sender knows of the target
 };
 
-struct LimitNews
+struct LimitMessage
 {
     std::vector<NamedLimits::Word> words;
     std::vector<PermitAsk> asks;
@@ -42,10 +42,10 @@
     }
 };
 
-wire::LimitNotices toNotices(const LimitNews &news);
+wire::LimitNotices toNotices(const LimitMessage &news);
 
 // Numbers and times that no instance can mean are cut to the bounds.
-LimitNews toNews(const wire::LimitNotices &notices);
+LimitMessage fromNotices(const wire::LimitNotices &notices);
 
 } // namespace jaytrack
 
--- a/include/jaytrack/Limits/namedlimits.h
+++ b/include/jaytrack/Limits/namedlimits.h
@@ -38,11 +38,11 @@
 
     // The target named a limit so long ago. Returns whether others had better know: it named none
     // before, or another one.
-    bool named(std::string_view target, double perSecond, Duration ago = Duration(0));
+    bool recordLimit(std::string_view target, double perSecond, Duration ago = Duration(0));
 
     // The target named none in its answer to a request that was sent so long ago. Returns whether
     // that ends a limit.
-    bool namedNone(std::string_view target, Duration sentAgo);
+    bool recordNoLimit(std::string_view target, Duration sentAgo);
 
     // The limit that holds; nothing if there is none.
     std::optional<double> find(std::string_view target) const;
--- a/include/jaytrack/Limits/targetlimits.h
+++ b/include/jaytrack/Limits/targetlimits.h
@@ -10,7 +10,7 @@
 #define JAYTRACK_LIMITS_TARGETLIMITS_H
 
 #include "jaytrack/Limits/limitaccount.h"
-#include "jaytrack/Limits/limitnews.h"
+#include "jaytrack/Limits/limitmessage.h"
 #include "jaytrack/Limits/namedlimits.h"
 #include "jaytrack/Routing/instanceranking.h"
 #include "jaytrack/Routing/knownfleet.h"
@@ -26,15 +26,15 @@
 namespace jaytrack {
 
 // Carries the news to other instances. They may be lost, which the limits allow for.
-class LimitSpread
+class LimitTransport
 {
 public:
-    virtual ~LimitSpread() = default;
-    virtual void tellLimits(std::string_view instance, const LimitNews &news) = 0;
-    virtual void tellAllLimits(const LimitNews &news) = 0;
+    virtual ~LimitTransport() = default;
+    virtual void sendLimits(std::string_view instance, const LimitMessage &news) = 0;
+    virtual void broadcastLimits(const LimitMessage &news) = 0;
 
     // Tells some instances, others each time.
-    virtual void tellSomeLimits(const LimitNews &news) = 0;
+    virtual void sendLimitsToSample(const LimitMessage &news) = 0;
 };
 
 struct TargetLimitOptions
@@ -83,8 +83,8 @@
 struct Permit
 {
     bool granted = false;
-    Duration wait{0};   // until another request had better be asked for
-    std::string keeper; // empty if there is nobody to ask
+    Duration wait{0};  // until another request had better be asked for
+    std::string owner; // empty if there is nobody to ask
 };
 
 class TargetLimits
@@ -94,15 +94,15 @@
 
     // The settings name so many other instances, which may or may not be there.
     TargetLimits(const Clock &time, std::string ownName, std::size_t expected, std::uint64_t seed,
-                 LimitSpread &others, TargetLimitOptions given = {});
+                 LimitTransport &others, TargetLimitOptions given = {});
 
     // The names of the other instances that are up.
     void setInstances(std::span<const std::string> others);
 
     // The target named a limit in an answer, or none in the answer to a request that was sent so
     // long ago. Returns whether that changed what is believed.
-    bool named(std::string_view target, double perSecond);
-    bool namedNone(std::string_view target, Duration sentAgo);
+    bool recordLimit(std::string_view target, double perSecond);
+    bool recordNoLimit(std::string_view target, Duration sentAgo);
 
     // The target's life ended.
     void forget(std::string_view target);
@@ -115,7 +115,7 @@
 
     // How long no request of this instance had better be asked for; zero if one may go or be asked
     // for now.
-    Duration rest(std::string_view target) const;
+    Duration remainingBackoff(std::string_view target) const;
 
     // Asks for one request to the target. What can be decided at once is returned: the target
     // names no limit, or rests, or its account is kept here. Else the function is called once,
@@ -127,7 +127,7 @@
     void countSent(std::string_view target);
 
     // Takes what another instance tells. Returns the targets whose limit that changed.
-    std::vector<std::string> onNews(std::string_view from, const LimitNews &news);
+    std::vector<std::string> onMessage(std::string_view from, const LimitMessage &news);
 
     // Does what is due. Called often enough for the bound of answers while nextStep() is near.
     void tick();
@@ -171,10 +171,10 @@
     void onNoAnswer(const Open &question);
     void expire();
     void dropIdle();
-    LimitNews wordsKept();
+    LimitMessage wordsKept();
 
     const Clock &clock;
-    LimitSpread &spread;
+    LimitTransport &spread;
     TargetLimitOptions options;
     std::mt19937_64 random;
     std::string self;
--- a/include/jaytrack/Proxy/peerlink.h
+++ b/include/jaytrack/Proxy/peerlink.h
@@ -10,9 +10,9 @@
 
 #include "jaytrack/Cluster/membership.h"
 #include "jaytrack/Cluster/noticespread.h"
-#include "jaytrack/Limits/limitnews.h"
+#include "jaytrack/Limits/limitmessage.h"
 #include "jaytrack/Proxy/datagrampacer.h"
-#include "jaytrack/Quarantine/quarantinenews.h"
+#include "jaytrack/Quarantine/quarantinemessage.h"
 #include "jaytrack/Routing/enginechoice.h"
 #include "jaytrack/Routing/engineshares.h"
 #include "jaytrack/Support/keyring.h"
@@ -76,8 +76,8 @@
                              std::uint64_t era, std::uint64_t revision) = 0;
     virtual void onLeavingFromPeer(std::string_view target) = 0;
     virtual void onColdFromPeer(std::string_view target, Duration left) = 0;
-    virtual void onQuarantineNews(const QuarantineNews &news) = 0;
-    virtual void onLimitNews(std::string_view peer, const LimitNews &news) = 0;
+    virtual void onQuarantineNews(const QuarantineMessage &news) = 0;
+    virtual void onLimitNews(std::string_view peer, const LimitMessage &news) = 0;
     virtual void onPeersChanged(const std::vector<std::string> &names) = 0;
 };
 
@@ -110,13 +110,13 @@
     void announceCold(std::string_view target, Duration left);
 
     // Tells all others, or some drawn by chance, of requests that end targets.
-    void tellAll(const QuarantineNews &news);
-    void tellSome(const QuarantineNews &news);
+    void tellAll(const QuarantineMessage &news);
+    void tellSome(const QuarantineMessage &news);
 
     // Tells one other, all, or some drawn by chance, of targets that name limits.
-    void tellLimits(std::string_view peer, const LimitNews &news);
-    void tellAllLimits(const LimitNews &news);
-    void tellSomeLimits(const LimitNews &news);
+    void tellLimits(std::string_view peer, const LimitMessage &news);
+    void tellAllLimits(const LimitMessage &news);
+    void tellSomeLimits(const LimitMessage &news);
 
     // Passes on what this instance read of the store, to readers too: each pauses after a change.
     void shareStore(const SharedChanges &changes);
--- a/include/jaytrack/Quarantine/crashquarantine.h
+++ b/include/jaytrack/Quarantine/crashquarantine.h
@@ -98,7 +98,7 @@
 
     // A target ran the request without harm, which clears it. Returns whether it was suspected, so
     // that others may have to be told.
-    bool ranWell(std::string_view digest);
+    bool recordSafeRun(std::string_view digest);
 
     // Weighs the ends that everybody can have told of by now, if there are new ones. Returns what
     // is barred from now on.
--- a/include/jaytrack/Quarantine/crashwatch.h
+++ b/include/jaytrack/Quarantine/crashwatch.h
@@ -3,7 +3,7 @@
 #ifndef JAYTRACK_QUARANTINE_CRASHWATCH_H
 #define JAYTRACK_QUARANTINE_CRASHWATCH_H
 
-#include "jaytrack/Quarantine/quarantinenews.h"
+#include "jaytrack/Quarantine/quarantinemessage.h"
 
 #include <asio/io_context.hpp>
 
@@ -16,7 +16,7 @@
 
 // Within this time of a target's end it is known whether a request is barred for it: the check of
 // its address, what the others tell, and a tick.
-constexpr std::chrono::milliseconds verdictTime{500};
+constexpr std::chrono::milliseconds verdictDelay{500};
 
 // A request that was lost unanswered at so many targets in a row waits for the verdict before it is
 // sent to another one. Sent on at once it ended six engines in the half second that a verdict
@@ -24,14 +24,14 @@
 constexpr int lossesBeforePause = 2;
 
 // Carries the news to other instances. They may be lost, which the watch allows for.
-class QuarantineSpread
+class QuarantineTransport
 {
 public:
-    virtual ~QuarantineSpread() = default;
-    virtual void tellAll(const QuarantineNews &news) = 0;
+    virtual ~QuarantineTransport() = default;
+    virtual void broadcastQuarantine(const QuarantineMessage &news) = 0;
 
     // Tells some instances, others each time.
-    virtual void tellSome(const QuarantineNews &news) = 0;
+    virtual void sendQuarantineToSample(const QuarantineMessage &news) = 0;
 };
 
 class CrashWatchListener
@@ -43,26 +43,26 @@
     virtual void onRequestBarred(std::string_view digest) = 0;
 };
 
-// lostUnanswered(), ranWell() and the questions may be called from any thread, the rest from the
-// loop's, from which spread and listener are called too.
+// recordUnansweredLoss(), recordSafeRun() and the questions may be called from any thread, the rest
+// from the loop's, from which spread and listener are called too.
 class CrashWatch
 {
 public:
     CrashWatch(asio::io_context &loop, const Clock &time, Metrics &counters,
-               QuarantineSpread &others, CrashWatchListener &told);
+               QuarantineTransport &others, CrashWatchListener &told);
     ~CrashWatch();
     CrashWatch(const CrashWatch &) = delete;
     CrashWatch &operator=(const CrashWatch &) = delete;
 
     // The connection on which the request went to the target at that moment has just been lost
     // before anything came back. The id names the target's life, the address is IP:PORT.
-    void lostUnanswered(std::string_view target, std::string_view address, std::string_view digest,
-                        TimePoint sentAt);
+    void recordUnansweredLoss(std::string_view target, std::string_view address,
+                              std::string_view digest, TimePoint sentAt);
 
     // A target has answered the request, or has worked on it for long enough.
-    void ranWell(std::string_view digest);
+    void recordSafeRun(std::string_view digest);
 
-    void onNews(const QuarantineNews &news);
+    void onMessage(const QuarantineMessage &news);
 
     // To be called some times a second.
     void tick();
@@ -92,7 +92,7 @@
     asio::io_context &context;
     const Clock &clock;
     Metrics &metrics;
-    QuarantineSpread &spread;
+    QuarantineTransport &spread;
     CrashWatchListener &listener;
     mutable std::mutex mutex; // guards the quarantine
     CrashQuarantine quarantine;
--- a/include/jaytrack/Quarantine/quarantinenews.h
+++ b/include/jaytrack/Quarantine/quarantinemessage.h
@@ -1,6 +1,6 @@
 // What instances tell each other of requests that end targets, and its form on the wire.
-#ifndef JAYTRACK_QUARANTINE_QUARANTINENEWS_H
-#define JAYTRACK_QUARANTINE_QUARANTINENEWS_H
+#ifndef JAYTRACK_QUARANTINE_QUARANTINEMESSAGE_H
+#define JAYTRACK_QUARANTINE_QUARANTINEMESSAGE_H
 
 #include "jaytrack/Quarantine/crashquarantine.h"
 
@@ -12,9 +12,9 @@
 
 // Instances that are told of what is barred each time. One that starts misses the telling of 340
 // others three times in a row with a chance of one in ten thousand.
-constexpr std::size_t drawnPeers = 3;
+constexpr std::size_t gossipFanout = 3;
 
-struct QuarantineNews
+struct QuarantineMessage
 {
     std::vector<TargetEnd> ends;
     std::vector<BarredRequest> barred;
@@ -26,10 +26,10 @@
     }
 };
 
-wire::QuarantineNotices toNotices(const QuarantineNews &news);
+wire::QuarantineNotices toNotices(const QuarantineMessage &news);
 
 // Times that no instance can mean are cut to the bounds.
-QuarantineNews toNews(const wire::QuarantineNotices &notices);
+QuarantineMessage fromNotices(const wire::QuarantineNotices &notices);
 
 } // namespace jaytrack
 
--- a/lib/Limits/limitgate.cpp
+++ b/lib/Limits/limitgate.cpp
@@ -30,7 +30,7 @@
 };
 
 LimitGate::LimitGate(asio::io_context &loop, const Clock &time, std::string ownName,
-                     std::size_t expectedOthers, std::uint64_t seed, LimitSpread &others,
+                     std::size_t expectedOthers, std::uint64_t seed, LimitTransport &others,
                      Metrics &counters)
     : context(loop)
     , clock(time)
@@ -65,11 +65,11 @@
     this->limits.setInstances(others);
 }
 
-void LimitGate::onNews(std::string_view from, const LimitNews &news)
+void LimitGate::onMessage(std::string_view from, const LimitMessage &news)
 {
     {
         const std::lock_guard lock(this->mutex);
-        for (const std::string &target : this->limits.onNews(from, news))
+        for (const std::string &target : this->limits.onMessage(from, news))
             this->logWord(target, "peer");
     }
     this->runDue();
@@ -84,17 +84,17 @@
     this->runDue();
 }
 
-void LimitGate::named(std::string_view target, double perSecond)
+void LimitGate::recordLimit(std::string_view target, double perSecond)
 {
     const std::lock_guard lock(this->mutex);
-    if (this->limits.named(target, perSecond))
+    if (this->limits.recordLimit(target, perSecond))
         this->logWord(target, "answer");
 }
 
-void LimitGate::namedNone(std::string_view target, Duration sentAgo)
+void LimitGate::recordNoLimit(std::string_view target, Duration sentAgo)
 {
     const std::lock_guard lock(this->mutex);
-    if (this->limits.namedNone(target, sentAgo))
+    if (this->limits.recordNoLimit(target, sentAgo))
         this->logWord(target, "answer");
 }
 
@@ -110,10 +110,10 @@
     return this->limits.limitOf(target);
 }
 
-Duration LimitGate::rest(std::string_view target) const
+Duration LimitGate::remainingBackoff(std::string_view target) const
 {
     const std::lock_guard lock(this->mutex);
-    return this->limits.rest(target);
+    return this->limits.remainingBackoff(target);
 }
 
 void LimitGate::note(const Permit &permit)
@@ -172,8 +172,8 @@
     });
 }
 
-std::chrono::milliseconds LimitGate::questionGap(std::string_view target,
-                                                 std::chrono::milliseconds usual) const
+std::chrono::milliseconds LimitGate::probeInterval(std::string_view target,
+                                                   std::chrono::milliseconds usual) const
 {
     const std::optional<double> limit = this->limitOf(target);
     if (!limit)
--- a/lib/Limits/limitnews.cpp
+++ b/lib/Limits/limitmessage.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Limits/limitnews.h"
+#include "jaytrack/Limits/limitmessage.h"
 
 #include "peer_types.h"
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-wire::LimitNotices toNotices(const LimitNews &news)
+wire::LimitNotices toNotices(const LimitMessage &news)
 {
     wire::LimitNotices notices;
     for (const NamedLimits::Word &word : news.words)
@@ -71,9 +71,9 @@
     return notices;
 }
 
-LimitNews toNews(const wire::LimitNotices &notices)
+LimitMessage fromNotices(const wire::LimitNotices &notices)
 {
-    LimitNews news;
+    LimitMessage news;
     for (const wire::LimitWordNotice &notice : notices.words)
         news.words.push_back(toWord(notice));
     for (const wire::PermitAskNotice &notice : notices.asks)
--- a/lib/Limits/namedlimits.cpp
+++ b/lib/Limits/namedlimits.cpp
@@ -28,7 +28,7 @@
     });
 }
 
-bool NamedLimits::named(std::string_view target, double perSecond, Duration ago)
+bool NamedLimits::recordLimit(std::string_view target, double perSecond, Duration ago)
 {
     this->dropOld();
     const TimePoint at = this->clock.now() - ago;
@@ -45,7 +45,7 @@
     return !wasLimited || std::abs(perSecond - before) > before * newsPart;
 }
 
-bool NamedLimits::namedNone(std::string_view target, Duration sentAgo)
+bool NamedLimits::recordNoLimit(std::string_view target, Duration sentAgo)
 {
     const auto found = this->entries.find(target);
     if (found == this->entries.end())
--- a/lib/Limits/targetlimits.cpp
+++ b/lib/Limits/targetlimits.cpp
@@ -18,7 +18,7 @@
 } // namespace
 
 TargetLimits::TargetLimits(const Clock &time, std::string ownName, std::size_t expected,
-                           std::uint64_t seed, LimitSpread &others, TargetLimitOptions given)
+                           std::uint64_t seed, LimitTransport &others, TargetLimitOptions given)
     : clock(time)
     , spread(others)
     , options(given)
@@ -45,10 +45,10 @@
     this->rankSettled();
     if (newcomers.empty() || !this->isSettled())
         return;
-    const LimitNews kept = this->wordsKept();
+    const LimitMessage kept = this->wordsKept();
     for (const std::string &name : newcomers) {
         if (!kept.isEmpty())
-            this->spread.tellLimits(name, kept);
+            this->spread.sendLimits(name, kept);
     }
 }
 
@@ -171,19 +171,19 @@
 
 // ---- What targets say ----
 
-bool TargetLimits::named(std::string_view target, double perSecond)
+bool TargetLimits::recordLimit(std::string_view target, double perSecond)
 {
-    if (!this->limits.named(target, perSecond))
+    if (!this->limits.recordLimit(target, perSecond))
         return false;
-    this->spread.tellAllLimits({{*this->limits.wordOf(target)}, {}, {}});
+    this->spread.broadcastLimits({{*this->limits.wordOf(target)}, {}, {}});
     return true;
 }
 
-bool TargetLimits::namedNone(std::string_view target, Duration sentAgo)
+bool TargetLimits::recordNoLimit(std::string_view target, Duration sentAgo)
 {
-    if (!this->limits.namedNone(target, sentAgo))
+    if (!this->limits.recordNoLimit(target, sentAgo))
         return false;
-    this->spread.tellAllLimits({{*this->limits.wordOf(target)}, {}, {}});
+    this->spread.broadcastLimits({{*this->limits.wordOf(target)}, {}, {}});
     return true;
 }
 
@@ -197,7 +197,7 @@
 
 // ---- Asking ----
 
-Duration TargetLimits::rest(std::string_view target) const
+Duration TargetLimits::remainingBackoff(std::string_view target) const
 {
     const auto found = this->restsUntil.find(target);
     if (found == this->restsUntil.end() || !this->limits.find(target))
@@ -208,7 +208,7 @@
 std::optional<Permit> TargetLimits::request(std::string_view target, const Decided &later)
 {
     this->noteHeldUp();
-    const Duration resting = this->rest(target);
+    const Duration resting = this->remainingBackoff(target);
     if (resting > Duration(0))
         return Permit{false, resting, {}};
     return this->ask(std::string(target), later, 1);
@@ -227,7 +227,7 @@
     const std::int64_t serial = this->nextSerial++;
     const TimePoint deadline = this->clock.now() + this->options.answerBound;
     this->open.emplace(serial, Open{target, *keeper, later, deadline, asked});
-    this->spread.tellLimits(*keeper, {{}, {{serial, *this->limits.wordOf(target), false}}, {}});
+    this->spread.sendLimits(*keeper, {{}, {{serial, *this->limits.wordOf(target), false}}, {}});
     return std::nullopt;
 }
 
@@ -250,7 +250,7 @@
         return;
     if (*keeper == this->self)
         return this->accountOf(target).spend(this->clock.now(), this->rateOf(target, *perSecond));
-    this->spread.tellLimits(*keeper, {{}, {{0, *this->limits.wordOf(target), true}}, {}});
+    this->spread.sendLimits(*keeper, {{}, {{0, *this->limits.wordOf(target), true}}, {}});
 }
 
 void TargetLimits::passOver(const std::string &keeper)
@@ -267,14 +267,14 @@
     if (word.target.empty())
         return false;
     const bool wasLimited = this->limits.find(word.target).has_value();
-    const bool news = this->limits.named(word.target, word.perSecond, word.namedAgo);
+    const bool news = this->limits.recordLimit(word.target, word.perSecond, word.namedAgo);
     if (word.endedAgo)
-        this->limits.namedNone(word.target, *word.endedAgo);
+        this->limits.recordNoLimit(word.target, *word.endedAgo);
     const bool isLimited = this->limits.find(word.target).has_value();
     return wasLimited != isLimited || (isLimited && news);
 }
 
-std::vector<std::string> TargetLimits::onNews(std::string_view from, const LimitNews &news)
+std::vector<std::string> TargetLimits::onMessage(std::string_view from, const LimitMessage &news)
 {
     this->noteHeldUp();
     std::vector<std::string> changed;
@@ -309,7 +309,7 @@
         answer.wait = permit.wait;
     }
     answer.word = this->limits.wordOf(target).value_or(asked.word);
-    this->spread.tellLimits(from, {{}, {}, {std::move(answer)}});
+    this->spread.sendLimits(from, {{}, {}, {std::move(answer)}});
 }
 
 void TargetLimits::onAnswer(std::string_view from, const PermitAnswer &answer)
@@ -374,9 +374,9 @@
 }
 
 // The limits whose accounts this instance keeps, for others that start or missed a notice.
-LimitNews TargetLimits::wordsKept()
+LimitMessage TargetLimits::wordsKept()
 {
-    LimitNews news;
+    LimitMessage news;
     for (const std::string &target : this->limits.limited()) {
         if (news.words.size() < mostInMessage && this->placeAt(target) == 0)
             news.words.push_back(*this->limits.wordOf(target));
@@ -395,9 +395,9 @@
     this->dropIdle();
     if (!this->isSettled())
         return;
-    const LimitNews kept = this->wordsKept();
+    const LimitMessage kept = this->wordsKept();
     if (!kept.isEmpty())
-        this->spread.tellSomeLimits(kept);
+        this->spread.sendLimitsToSample(kept);
 }
 
 } // namespace jaytrack
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrybeliefs.cpp
@@ -226,31 +226,31 @@
         this->peers->announceCold(target, left);
 }
 
-void EntryInstance::Parts::tellAll(const QuarantineNews &news)
+void EntryInstance::Parts::broadcastQuarantine(const QuarantineMessage &news)
 {
     if (this->peers)
         this->peers->tellAll(news);
 }
 
-void EntryInstance::Parts::tellSome(const QuarantineNews &news)
+void EntryInstance::Parts::sendQuarantineToSample(const QuarantineMessage &news)
 {
     if (this->peers)
         this->peers->tellSome(news);
 }
 
-void EntryInstance::Parts::tellLimits(std::string_view instance, const LimitNews &news)
+void EntryInstance::Parts::sendLimits(std::string_view instance, const LimitMessage &news)
 {
     if (this->peers)
         this->peers->tellLimits(instance, news);
 }
 
-void EntryInstance::Parts::tellAllLimits(const LimitNews &news)
+void EntryInstance::Parts::broadcastLimits(const LimitMessage &news)
 {
     if (this->peers)
         this->peers->tellAllLimits(news);
 }
 
-void EntryInstance::Parts::tellSomeLimits(const LimitNews &news)
+void EntryInstance::Parts::sendLimitsToSample(const LimitMessage &news)
 {
     if (this->peers)
         this->peers->tellSomeLimits(news);
--- a/lib/Proxy/entryparts.h
+++ b/lib/Proxy/entryparts.h
@@ -24,8 +24,8 @@
                                     public LoadSharing,
                                     public PlacementNotices,
                                     public SelfReportNotices,
-                                    public QuarantineSpread,
-                                    public LimitSpread,
+                                    public QuarantineTransport,
+                                    public LimitTransport,
                                     public CrashWatchListener
 {
     // Answers the balancer's question and the request for metrics; what callers may not reach.
@@ -100,11 +100,11 @@
     void onLeavingFromPeer(std::string_view target) override;
     void onColdFromPeer(std::string_view target, Duration left) override;
 
-    void onQuarantineNews(const QuarantineNews &news) override { this->crashes.onNews(news); }
+    void onQuarantineNews(const QuarantineMessage &news) override { this->crashes.onMessage(news); }
 
-    void onLimitNews(std::string_view peer, const LimitNews &news) override
+    void onLimitNews(std::string_view peer, const LimitMessage &news) override
     {
-        this->limitGate.onNews(peer, news);
+        this->limitGate.onMessage(peer, news);
     }
 
     void onPeersChanged(const std::vector<std::string> &names) override;
@@ -120,16 +120,16 @@
     void announceLeaving(std::string_view target) override;
     void announceCold(std::string_view target, Duration left) override;
 
-    // QuarantineSpread
+    // QuarantineTransport
 
-    void tellAll(const QuarantineNews &news) override;
-    void tellSome(const QuarantineNews &news) override;
+    void broadcastQuarantine(const QuarantineMessage &news) override;
+    void sendQuarantineToSample(const QuarantineMessage &news) override;
 
-    // LimitSpread
+    // LimitTransport
 
-    void tellLimits(std::string_view instance, const LimitNews &news) override;
-    void tellAllLimits(const LimitNews &news) override;
-    void tellSomeLimits(const LimitNews &news) override;
+    void sendLimits(std::string_view instance, const LimitMessage &news) override;
+    void broadcastLimits(const LimitMessage &news) override;
+    void sendLimitsToSample(const LimitMessage &news) override;
 
     // CrashWatchListener
 
--- a/lib/Proxy/exchange.cpp
+++ b/lib/Proxy/exchange.cpp
@@ -156,7 +156,7 @@
 Duration Exchange::restOf(const TargetEntry &target, double rate) const
 {
     return std::max({this->context.pauses.left(target.id), this->context.cold.wait(target.id, rate),
-                     this->context.limits.rest(target.id)});
+                     this->context.limits.remainingBackoff(target.id)});
 }
 
 double Exchange::coldRate() const
@@ -215,7 +215,7 @@
 {
     if (!permit.granted) {
         this->logDecision("permit_denied", {{"target", target.id},
-                                            {"keeper", permit.keeper},
+                                            {"keeper", permit.owner},
                                             {"wait_ms", toMillis(permit.wait)}});
         return this->attempt();
     }
@@ -283,13 +283,13 @@
     const TargetEntry *listed = this->context.directory.find(target.id);
     if (listed == nullptr || listed->leaving)
         return;
-    this->context.crashes.lostUnanswered(target.id, target.address, this->digest(), sentAt);
+    this->context.crashes.recordUnansweredLoss(target.id, target.address, this->digest(), sentAt);
 }
 
 void Exchange::noteRanWell() const
 {
     if (!this->context.crashes.isIdle())
-        this->context.crashes.ranWell(this->digest());
+        this->context.crashes.recordSafeRun(this->digest());
 }
 
 void Exchange::onRequestBarred(std::string_view barredDigest)
--- a/lib/Proxy/loadprober.cpp
+++ b/lib/Proxy/loadprober.cpp
@@ -70,7 +70,7 @@
 
     std::chrono::milliseconds ownGap() const
     {
-        return this->prober.limits.questionGap(this->target.id, this->prober.gap);
+        return this->prober.limits.probeInterval(this->target.id, this->prober.gap);
     }
 
     void askIfPermitted()
--- a/lib/Proxy/peerlink.cpp
+++ b/lib/Proxy/peerlink.cpp
@@ -334,14 +334,14 @@
     this->tellPeers(message);
 }
 
-void PeerLink::tellAll(const QuarantineNews &news)
+void PeerLink::tellAll(const QuarantineMessage &news)
 {
     wire::EntryNotices message;
     message.quarantine = toNotices(news);
     this->tellPeers(message);
 }
 
-void PeerLink::tellSome(const QuarantineNews &news)
+void PeerLink::tellSome(const QuarantineMessage &news)
 {
     wire::EntryNotices message;
     message.quarantine = toNotices(news);
@@ -351,26 +351,26 @@
 void PeerLink::tellDrawn(const wire::EntryNotices &message)
 {
     std::vector<std::string> drawn;
-    std::sample(this->peers.begin(), this->peers.end(), std::back_inserter(drawn), drawnPeers,
+    std::sample(this->peers.begin(), this->peers.end(), std::back_inserter(drawn), gossipFanout,
                 this->random);
     this->membership.sendPolicy(drawn, encodeMessage(message));
 }
 
-void PeerLink::tellLimits(std::string_view peer, const LimitNews &news)
+void PeerLink::tellLimits(std::string_view peer, const LimitMessage &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
     this->membership.sendPolicy(peer, encodeMessage(message));
 }
 
-void PeerLink::tellAllLimits(const LimitNews &news)
+void PeerLink::tellAllLimits(const LimitMessage &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
     this->tellPeers(message);
 }
 
-void PeerLink::tellSomeLimits(const LimitNews &news)
+void PeerLink::tellSomeLimits(const LimitMessage &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
@@ -500,10 +500,10 @@
         this->listener.onLeavingFromPeer(target);
     for (const wire::ColdNotice &notice : message->coldTargets)
         this->listener.onColdFromPeer(notice.target, std::chrono::microseconds(notice.leftMicros));
-    const QuarantineNews news = toNews(message->quarantine);
+    const QuarantineMessage news = fromNotices(message->quarantine);
     if (!news.isEmpty())
         this->listener.onQuarantineNews(news);
-    const LimitNews limits = toNews(message->limits);
+    const LimitMessage limits = fromNotices(message->limits);
     if (!limits.isEmpty())
         this->listener.onLimitNews(origin, limits);
     for (const wire::StoreNotice &notice : message->stores)
--- a/lib/Proxy/selfreports.cpp
+++ b/lib/Proxy/selfreports.cpp
@@ -24,7 +24,7 @@
     this->hearFacts(target, said);
     const bool served = answer.status >= firstGoodStatus && answer.status < afterGoodStatus;
     if (served && said.namesNoLimit)
-        this->limits.namedNone(target, sentAgo);
+        this->limits.recordNoLimit(target, sentAgo);
 }
 
 void SelfReports::hearFacts(std::string_view target, const AnswerFacts &said)
@@ -43,7 +43,7 @@
         this->notices.announceCold(target, *said.coldFor);
     }
     if (said.limitPerSecond)
-        this->limits.named(target, *said.limitPerSecond);
+        this->limits.recordLimit(target, *said.limitPerSecond);
     if (said.leaving && this->directory.markLeaving(target, "told_in_answer"))
         this->notices.announceLeaving(target);
 }
--- a/lib/Proxy/streamhandover.cpp
+++ b/lib/Proxy/streamhandover.cpp
@@ -261,7 +261,7 @@
     if (!this->current || this->move || this->copyAsked)
         return;
     // The order is a request to the engine that leaves.
-    if (this->context.limits.rest(this->current->target.id) > Duration(0))
+    if (this->context.limits.remainingBackoff(this->current->target.id) > Duration(0))
         return;
     const std::vector<const TargetEntry *> engines = this->refuges();
     const TargetEntry *chosen = this->context.engines.chooseRefuge(
--- a/lib/Quarantine/crashquarantine.cpp
+++ b/lib/Quarantine/crashquarantine.cpp
@@ -34,7 +34,7 @@
     this->weighAt = std::min(this->weighAt, end.endedAt + this->options.settleTime);
 }
 
-bool CrashQuarantine::ranWell(std::string_view digest)
+bool CrashQuarantine::recordSafeRun(std::string_view digest)
 {
     bool suspected = false;
     for (End &end : this->ends) {
--- a/lib/Quarantine/crashwatch.cpp
+++ b/lib/Quarantine/crashwatch.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 CrashWatch::CrashWatch(asio::io_context &loop, const Clock &time, Metrics &counters,
-                       QuarantineSpread &others, CrashWatchListener &told)
+                       QuarantineTransport &others, CrashWatchListener &told)
     : context(loop)
     , clock(time)
     , metrics(counters)
@@ -52,8 +52,8 @@
 
 // The loss is dated here: by the time that the loop comes to it, the request may have been sent to
 // the next target, and that it was sent after this one had ended would not show.
-void CrashWatch::lostUnanswered(std::string_view target, std::string_view address,
-                                std::string_view digest, TimePoint sentAt)
+void CrashWatch::recordUnansweredLoss(std::string_view target, std::string_view address,
+                                      std::string_view digest, TimePoint sentAt)
 {
     asio::post(this->context, [this, kept = this->alive, target = std::string(target),
                                address = std::string(address), digest = std::string(digest), sentAt,
@@ -120,19 +120,19 @@
     for (std::size_t at = 0; at < end.suspects.size(); at += mostInMessage) {
         const std::size_t count = std::min(mostInMessage, end.suspects.size() - at);
         const auto first = end.suspects.begin() + static_cast<std::ptrdiff_t>(at);
-        QuarantineNews news;
+        QuarantineMessage news;
         news.ends.push_back(
                 {end.target, {first, first + static_cast<std::ptrdiff_t>(count)}, end.ago});
-        this->spread.tellAll(news);
+        this->spread.broadcastQuarantine(news);
     }
 }
 
-void CrashWatch::ranWell(std::string_view digest)
+void CrashWatch::recordSafeRun(std::string_view digest)
 {
     bool suspected = false;
     {
         const std::lock_guard lock(this->mutex);
-        suspected = this->quarantine.ranWell(digest);
+        suspected = this->quarantine.recordSafeRun(digest);
     }
     if (!suspected)
         return;
@@ -140,13 +140,13 @@
         if (!*kept)
             return;
         logEvent(Severity::Info, "request_cleared", {{"digest", digest}});
-        QuarantineNews news;
+        QuarantineMessage news;
         news.ranWell.push_back(digest);
-        this->spread.tellAll(news);
+        this->spread.broadcastQuarantine(news);
     });
 }
 
-void CrashWatch::onNews(const QuarantineNews &news)
+void CrashWatch::onMessage(const QuarantineMessage &news)
 {
     std::vector<BarredRequest> fresh;
     {
@@ -154,7 +154,7 @@
         for (const TargetEnd &end : news.ends)
             this->quarantine.targetEnded(end);
         for (const std::string &digest : news.ranWell)
-            this->quarantine.ranWell(digest);
+            this->quarantine.recordSafeRun(digest);
         for (const BarredRequest &request : news.barred) {
             if (this->quarantine.bar(request))
                 fresh.push_back(request);
@@ -185,9 +185,9 @@
     }
     this->announce(fresh, "own");
     if (!fresh.empty()) {
-        QuarantineNews news;
+        QuarantineMessage news;
         news.barred = fresh;
-        this->spread.tellAll(news);
+        this->spread.broadcastQuarantine(news);
     }
     this->repeatEnds();
     if (this->clock.now() - this->barredToldAt >= barredGap)
@@ -208,7 +208,7 @@
 void CrashWatch::tellBarred()
 {
     this->barredToldAt = this->clock.now();
-    QuarantineNews news;
+    QuarantineMessage news;
     {
         const std::lock_guard lock(this->mutex);
         news.barred = this->quarantine.barred();
@@ -221,7 +221,7 @@
                   return left.left > right.left;
               });
     news.barred.resize(std::min(news.barred.size(), mostInMessage));
-    this->spread.tellSome(news);
+    this->spread.sendQuarantineToSample(news);
 }
 
 bool CrashWatch::isIdle() const
--- a/lib/Quarantine/quarantinenews.cpp
+++ b/lib/Quarantine/quarantinemessage.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Quarantine/quarantinenews.h"
+#include "jaytrack/Quarantine/quarantinemessage.h"
 
 #include "peer_types.h"
 
@@ -23,7 +23,7 @@
 
 } // namespace
 
-wire::QuarantineNotices toNotices(const QuarantineNews &news)
+wire::QuarantineNotices toNotices(const QuarantineMessage &news)
 {
     wire::QuarantineNotices notices;
     for (const TargetEnd &end : news.ends) {
@@ -49,9 +49,9 @@
     return notices;
 }
 
-QuarantineNews toNews(const wire::QuarantineNotices &notices)
+QuarantineMessage fromNotices(const wire::QuarantineNotices &notices)
 {
-    QuarantineNews news;
+    QuarantineMessage news;
     for (const wire::TargetEndNotice &notice : notices.ends) {
         TargetEnd end{notice.target, {}, toTime(notice.agoMicros)};
         for (const wire::SuspectNotice &told : notice.suspects)
--- a/lib/Serve/enginewatcher.cpp
+++ b/lib/Serve/enginewatcher.cpp
@@ -49,7 +49,7 @@
             Watched &watched = this->state->engines[engine.name];
             if (watched.asking || now < watched.nextAt)
                 continue;
-            watched.nextAt = now + this->context.limits.questionGap(engine.name, askGap);
+            watched.nextAt = now + this->context.limits.probeInterval(engine.name, askGap);
         }
         if (this->isHome(engine.name))
             this->askIfPermitted(engine.name, engine.address);
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -150,7 +150,7 @@
     std::vector<std::string> names;
     for (const Engine &one : this->caller.document->engines) {
         const bool fits = one.model == this->order.ask.model && !one.leaving;
-        if (fits && this->context.limits.rest(one.name) > Duration(0))
+        if (fits && this->context.limits.remainingBackoff(one.name) > Duration(0))
             names.push_back(one.name);
     }
     return names;
@@ -167,7 +167,7 @@
                           std::find(avoid.begin(), avoid.end(), one.name) == avoid.end();
         if (!fits)
             continue;
-        const Duration rest = this->context.limits.rest(one.name);
+        const Duration rest = this->context.limits.remainingBackoff(one.name);
         if (rest == Duration(0))
             return false;
         shortest = std::min(shortest.value_or(rest), rest);
@@ -540,8 +540,8 @@
         this->engine->leaving)
         return;
     ++this->unansweredLosses;
-    this->context.crashes.lostUnanswered(this->engine->name, this->engine->address, this->digest(),
-                                         this->attachedAt);
+    this->context.crashes.recordUnansweredLoss(this->engine->name, this->engine->address,
+                                               this->digest(), this->attachedAt);
 }
 
 void GenerationCall::lost(bool maySentBytes, const Ending &why)
@@ -580,7 +580,7 @@
         this->phase = Phase::Pausing;
         this->resumeAt = this->context.clock.now();
         if (this->unansweredLosses >= lossesBeforePause)
-            this->resumeAt += verdictTime;
+            this->resumeAt += verdictDelay;
         this->engine = nullptr;
         return;
     case RecoveryStep::GiveUp:
@@ -715,7 +715,7 @@
 void GenerationCall::complete()
 {
     if (!this->order.resumed && !this->context.crashes.isIdle())
-        this->context.crashes.ranWell(this->digest());
+        this->context.crashes.recordSafeRun(this->digest());
     this->leaveEngine(Departure::Finished);
     this->dropAttempt();
     this->finish({ResultCode::Ok, "", {}});
--- a/lib/Serve/instance.cpp
+++ b/lib/Serve/instance.cpp
@@ -62,8 +62,8 @@
 
 struct Instance::Parts final : public PlatformListener,
                                public PolicyTransport,
-                               public QuarantineSpread,
-                               public LimitSpread,
+                               public QuarantineTransport,
+                               public LimitTransport,
                                public CrashWatchListener
 {
     Parts(const Settings &given, const Clock &time)
@@ -145,21 +145,27 @@
                    });
     }
 
-    // QuarantineSpread and CrashWatchListener, on the control thread.
+    // QuarantineTransport and CrashWatchListener, on the control thread.
 
-    void tellAll(const QuarantineNews &news) override { this->tell(this->others, news); }
+    void broadcastQuarantine(const QuarantineMessage &news) override
+    {
+        this->tell(this->others, news);
+    }
 
-    void tellSome(const QuarantineNews &news) override { this->tell(this->drawnOthers(), news); }
+    void sendQuarantineToSample(const QuarantineMessage &news) override
+    {
+        this->tell(this->drawnOthers(), news);
+    }
 
     std::vector<std::string> drawnOthers()
     {
         std::vector<std::string> drawn;
-        std::sample(this->others.begin(), this->others.end(), std::back_inserter(drawn), drawnPeers,
-                    this->random);
+        std::sample(this->others.begin(), this->others.end(), std::back_inserter(drawn),
+                    gossipFanout, this->random);
         return drawn;
     }
 
-    void tell(const std::vector<std::string> &names, const QuarantineNews &news)
+    void tell(const std::vector<std::string> &names, const QuarantineMessage &news)
     {
         wire::PolicyMessage message;
         message.quarantine = toNotices(news);
@@ -173,24 +179,24 @@
             this->peers.sendPolicy(name, bytes);
     }
 
-    // LimitSpread, from any thread: the control thread sends.
+    // LimitTransport, from any thread: the control thread sends.
 
-    void tellLimits(std::string_view instance, const LimitNews &news) override
+    void sendLimits(std::string_view instance, const LimitMessage &news) override
     {
         this->postLimits(news, [name = std::string(instance)] { return std::vector{name}; });
     }
 
-    void tellAllLimits(const LimitNews &news) override
+    void broadcastLimits(const LimitMessage &news) override
     {
         this->postLimits(news, [this] { return this->others; });
     }
 
-    void tellSomeLimits(const LimitNews &news) override
+    void sendLimitsToSample(const LimitMessage &news) override
     {
         this->postLimits(news, [this] { return this->drawnOthers(); });
     }
 
-    void postLimits(const LimitNews &news, std::function<std::vector<std::string>()> whom)
+    void postLimits(const LimitMessage &news, std::function<std::vector<std::string>()> whom)
     {
         asio::post(this->control, [this, news, whom = std::move(whom)] {
             wire::PolicyMessage message;
@@ -204,12 +210,12 @@
         const auto message = decodeMessage<wire::PolicyMessage>(bytes);
         if (!message)
             return;
-        const QuarantineNews news = toNews(message->quarantine);
+        const QuarantineMessage news = fromNotices(message->quarantine);
         if (!news.isEmpty())
-            this->crashes.onNews(news);
-        const LimitNews limitNews = toNews(message->limits);
+            this->crashes.onMessage(news);
+        const LimitMessage limitNews = fromNotices(message->limits);
         if (!limitNews.isEmpty())
-            this->limits.onNews(from, limitNews);
+            this->limits.onMessage(from, limitNews);
     }
 
     void onRequestBarred(std::string_view digest) override { this->gateway.withdraw(digest); }
--- a/lib/Serve/limitwords.cpp
+++ b/lib/Serve/limitwords.cpp
@@ -14,7 +14,7 @@
 void hearTargetLimit(LimitGate &limits, std::string_view target, const AnswerHead &answer)
 {
     if (const auto limit = parseRequestRate(findHeader(answer.headers, targetLimitHeader)))
-        limits.named(target, *limit);
+        limits.recordLimit(target, *limit);
 }
 
 void hearTargetLimit(LimitGate &limits, std::string_view target, const AnswerHead &answer,
@@ -23,7 +23,7 @@
     hearTargetLimit(limits, target, answer);
     const bool served = answer.status >= firstGoodStatus && answer.status < afterGoodStatus;
     if (served && findHeader(answer.headers, targetLimitHeader).empty())
-        limits.namedNone(target, sentAgo);
+        limits.recordNoLimit(target, sentAgo);
 }
 
 void logPermitDenied(std::string_view requestId, std::string_view target, const Permit &permit)
@@ -31,7 +31,7 @@
     logEvent(Severity::Info, "permit_denied",
              {{"id", requestId},
               {"target", target},
-              {"keeper", permit.keeper},
+              {"keeper", permit.owner},
               {"wait_ms", toMillis(permit.wait)}});
 }
 
--- a/lib/Serve/servicecall.cpp
+++ b/lib/Serve/servicecall.cpp
@@ -281,7 +281,8 @@
 // How long the target gets nothing: it wants rest, or names a limit that is used up.
 Duration ServiceDesk::restOf(const ServiceTarget &target) const
 {
-    return std::max(this->pauses.left(target.name), this->context.limits.rest(target.name));
+    return std::max(this->pauses.left(target.name),
+                    this->context.limits.remainingBackoff(target.name));
 }
 
 const ServiceTarget *ServiceDesk::chooseTarget(const Call &call)
@@ -312,13 +313,13 @@
                           const FetchedAnswer &answer) const
 {
     if (answer.end.whole && !this->context.crashes.isIdle())
-        this->context.crashes.ranWell(call.contentDigest());
+        this->context.crashes.recordSafeRun(call.contentDigest());
     const bool unanswered = !answer.end.whole && answer.headers.empty();
     if (!unanswered || !answer.end.maySentBytes || target.leaving)
         return;
     ++call.unansweredLosses;
-    this->context.crashes.lostUnanswered(target.name, target.address, call.contentDigest(),
-                                         call.sentAt);
+    this->context.crashes.recordUnansweredLoss(target.name, target.address, call.contentDigest(),
+                                               call.sentAt);
 }
 
 // The time until the first target that wants no work now takes some again; zero if none does.
@@ -425,7 +426,7 @@
     }
     if (this->mayRepeat(call, answer)) {
         if (call->unansweredLosses >= lossesBeforePause)
-            this->heldBack.emplace_back(now + verdictTime, call);
+            this->heldBack.emplace_back(now + verdictDelay, call);
         else
             this->attempt(call);
         return;
--- a/unittests/Limits/limitfleet.cpp
+++ b/unittests/Limits/limitfleet.cpp
@@ -41,7 +41,7 @@
 
 } // namespace
 
-class LimitFleet::Node final : public LimitSpread
+class LimitFleet::Node final : public LimitTransport
 {
 public:
     Node(LimitFleet &owner, std::size_t number)
@@ -53,29 +53,29 @@
     {
     }
 
-    void tellLimits(std::string_view instance, const LimitNews &news) override
+    void sendLimits(std::string_view instance, const LimitMessage &news) override
     {
         this->fleet.post(this->index, std::string(instance), news);
     }
 
-    void tellAllLimits(const LimitNews &news) override
+    void broadcastLimits(const LimitMessage &news) override
     {
         for (const std::string &name : this->view)
-            this->tellLimits(name, news);
+            this->sendLimits(name, news);
     }
 
-    void tellSomeLimits(const LimitNews &news) override
+    void sendLimitsToSample(const LimitMessage &news) override
     {
         std::vector<std::string> some;
         std::sample(this->view.begin(), this->view.end(), std::back_inserter(some), drawn,
                     this->fleet.random);
         for (const std::string &name : some)
-            this->tellLimits(name, news);
+            this->sendLimits(name, news);
     }
 
     void want()
     {
-        if (this->limits.rest(target) > Duration(0))
+        if (this->limits.remainingBackoff(target) > Duration(0))
             return;
         const auto decided = [this](const Permit &permit) {
             if (permit.granted)
@@ -127,7 +127,7 @@
     return this->parts[from] == this->parts[to];
 }
 
-void LimitFleet::post(std::size_t from, const std::string &to, const LimitNews &news)
+void LimitFleet::post(std::size_t from, const std::string &to, const LimitMessage &news)
 {
     Node &sender = *this->nodes[from];
     sender.mostMessages = std::max(sender.mostMessages, ++sender.messages);
@@ -156,7 +156,7 @@
         if (!this->reaches(message.from, message.to) || this->clock.now() < node.downUntil)
             continue;
         if (node.isAwake()) {
-            node.limits.onNews(nameOf(message.from), message.news);
+            node.limits.onMessage(nameOf(message.from), message.news);
             continue;
         }
         message.due = node.frozenUntil;
@@ -206,7 +206,7 @@
         const auto heard =
                 std::erase_if(node->answers, [now](TimePoint due) { return due <= now; });
         if (heard > 0 && this->namedAt != TimePoint{})
-            node->limits.named(target, this->plan.limit);
+            node->limits.recordLimit(target, this->plan.limit);
         const auto next = node->limits.nextStep();
         if (tick || (next && *next <= now))
             node->limits.tick();
--- a/unittests/Limits/limitfleet.h
+++ b/unittests/Limits/limitfleet.h
@@ -68,7 +68,7 @@
         TimePoint due;
         std::size_t from;
         std::size_t to;
-        LimitNews news;
+        LimitMessage news;
     };
 
     void start(std::size_t index);
@@ -80,7 +80,7 @@
     void meetAll();
     void meetSome(double part);
     bool reaches(std::size_t from, std::size_t to) const;
-    void post(std::size_t from, const std::string &to, const LimitNews &news);
+    void post(std::size_t from, const std::string &to, const LimitMessage &news);
     void sent(std::size_t index);
 
     LimitFleetPlan plan;
--- a/unittests/Limits/limitnewstest.cpp
+++ b/unittests/Limits/limitmessagetest.cpp
@@ -1,5 +1,5 @@
 // What instances tell each other of limits survives the wire, and nonsense is cut to the bounds.
-#include "jaytrack/Limits/limitnews.h"
+#include "jaytrack/Limits/limitmessage.h"
 
 #include "peer_types.h"
 
@@ -12,12 +12,12 @@
 
 Test(limitNews, survivesTheWire)
 {
-    LimitNews news;
+    LimitMessage news;
     news.words.push_back({"t", 2.5, 40ms, std::nullopt});
     news.words.push_back({"u", 0.1, 40ms, 7ms});
     news.asks.push_back({7, {"t", 2.5, 40ms, std::nullopt}, true});
     news.answers.push_back({9, true, 300ms, false, {"t", 2.5, 40ms, std::nullopt}});
-    const LimitNews read = toNews(toNotices(news));
+    const LimitMessage read = fromNotices(toNotices(news));
     cr_assert_eq(read.words.size(), 2);
     cr_expect_eq(read.words[0].target, std::string("t"));
     cr_expect_float_eq(read.words[0].perSecond, 2.5, 1e-9);
@@ -30,7 +30,7 @@
     cr_expect(read.answers[0].granted);
     cr_expect(read.answers[0].wait == 300ms);
     cr_expect_not(read.answers[0].keeps);
-    cr_expect(toNews(wire::LimitNotices()).isEmpty());
+    cr_expect(fromNotices(wire::LimitNotices()).isEmpty());
 }
 
 // Guards against another instance's nonsense overflowing times or rates.
@@ -47,7 +47,7 @@
     word.namedAgoMicros = std::numeric_limits<std::int64_t>::min();
     word.endedAgoMicros = -1;
     notices.words.push_back(word);
-    const LimitNews read = toNews(notices);
+    const LimitMessage read = fromNotices(notices);
     cr_expect_float_eq(read.words[0].perSecond, 0, 1e-9);
     cr_expect(read.words[0].namedAgo == 24h);
     cr_expect(read.words[0].endedAgo == Duration(24h));
--- a/unittests/Limits/namedlimitstest.cpp
+++ b/unittests/Limits/namedlimitstest.cpp
@@ -57,9 +57,10 @@
         clock.advance(std::chrono::milliseconds(heard.atMillis) - passed);
         passed = std::chrono::milliseconds(heard.atMillis);
         if (heard.named)
-            limits.named("t", 2.5);
+            limits.recordLimit("t", 2.5);
         else
-            limits.namedNone("t", std::chrono::milliseconds(heard.atMillis - heard.sentAtMillis));
+            limits.recordNoLimit("t",
+                                 std::chrono::milliseconds(heard.atMillis - heard.sentAtMillis));
     }
     cr_expect_eq(limits.find("t").has_value(), given->limited, "%s", given->name);
 }
@@ -69,16 +70,16 @@
 {
     ManualClock clock;
     NamedLimits limits(clock);
-    cr_expect(limits.named("t", 2.5));
+    cr_expect(limits.recordLimit("t", 2.5));
     clock.advance(10ms);
-    cr_expect_not(limits.named("t", 2.5));
-    cr_expect_not(limits.named("t", 2.55));
-    cr_expect(limits.named("t", 4));
+    cr_expect_not(limits.recordLimit("t", 2.5));
+    cr_expect_not(limits.recordLimit("t", 2.55));
+    cr_expect(limits.recordLimit("t", 4));
     cr_expect_float_eq(*limits.find("t"), 4, 1e-9);
     clock.advance(10ms);
-    cr_expect(limits.namedNone("t", 5ms));
-    cr_expect_not(limits.namedNone("t", 4ms));
-    cr_expect(limits.named("t", 4));
+    cr_expect(limits.recordNoLimit("t", 5ms));
+    cr_expect_not(limits.recordNoLimit("t", 4ms));
+    cr_expect(limits.recordLimit("t", 4));
 }
 
 // Guards against an old notice of another instance replacing what a target has said since.
@@ -87,12 +88,12 @@
     ManualClock clock;
     NamedLimits limits(clock);
     clock.advance(1s);
-    limits.named("t", 2.5);
-    cr_expect_not(limits.named("t", 9, 500ms));
+    limits.recordLimit("t", 2.5);
+    cr_expect_not(limits.recordLimit("t", 9, 500ms));
     cr_expect_float_eq(*limits.find("t"), 2.5, 1e-9);
     clock.advance(1s);
-    limits.namedNone("t", 100ms);
-    cr_expect_not(limits.named("t", 9, 200ms));
+    limits.recordNoLimit("t", 100ms);
+    cr_expect_not(limits.recordLimit("t", 9, 200ms));
     cr_expect_not(limits.find("t").has_value());
     const auto word = limits.wordOf("t");
     cr_assert(word);
@@ -104,14 +105,14 @@
 {
     ManualClock clock;
     NamedLimits limits(clock);
-    limits.named("t", 2.5);
-    limits.named("u", 1);
+    limits.recordLimit("t", 2.5);
+    limits.recordLimit("u", 1);
     limits.forget("t");
     cr_expect_not(limits.find("t").has_value());
     cr_expect_eq(limits.limited().size(), 1);
     clock.advance(10ms);
-    limits.namedNone("u", 1ms);
+    limits.recordNoLimit("u", 1ms);
     clock.advance(2min);
-    limits.named("v", 1);
+    limits.recordLimit("v", 1);
     cr_expect_not(limits.wordOf("u").has_value());
 }
--- a/unittests/Limits/targetlimitstest.cpp
+++ b/unittests/Limits/targetlimitstest.cpp
@@ -10,20 +10,23 @@
 
 namespace {
 
-class Told final : public LimitSpread
+class Told final : public LimitTransport
 {
 public:
-    void tellLimits(std::string_view instance, const LimitNews &news) override
+    void sendLimits(std::string_view instance, const LimitMessage &news) override
     {
         this->messages.emplace_back(instance, news);
     }
-    void tellAllLimits(const LimitNews &news) override { this->messages.emplace_back("all", news); }
-    void tellSomeLimits(const LimitNews &news) override
+    void broadcastLimits(const LimitMessage &news) override
+    {
+        this->messages.emplace_back("all", news);
+    }
+    void sendLimitsToSample(const LimitMessage &news) override
     {
         this->messages.emplace_back("some", news);
     }
 
-    std::vector<std::pair<std::string, LimitNews>> messages;
+    std::vector<std::pair<std::string, LimitMessage>> messages;
 };
 
 // An instance that has known one other for a while, and a target that names a limit.
@@ -34,7 +37,7 @@
     {
         this->limits.setInstances(this->others);
         this->pass(10s);
-        this->limits.named("t", limit);
+        this->limits.recordLimit("t", limit);
     }
 
     // The loop ticks while time passes, as in a process that is not held up.
@@ -75,7 +78,7 @@
     Settled own;
     // Whichever of the two keeps the account tells: try targets until one falls to this instance.
     for (int i = 0; i < 16; ++i)
-        own.limits.named("t" + std::to_string(i), 2);
+        own.limits.recordLimit("t" + std::to_string(i), 2);
     own.told.messages.clear();
     own.limits.setInstances(std::vector<std::string>{"newcomer", "other"});
     cr_assert_eq(own.told.messages.size(), 1);
@@ -88,7 +91,7 @@
 {
     Alone own;
     cr_expect_not(own.request()->granted, "an account opens empty");
-    const Duration wait = own.limits.rest("t");
+    const Duration wait = own.limits.remainingBackoff("t");
     cr_expect_gt(wait, 0ms);
     cr_expect_leq(wait, 500ms);
     cr_expect_not(own.request()->granted, "it rests");
@@ -120,7 +123,7 @@
     std::string asked;
     for (int i = 0; i < 16 && !asked.size(); ++i) {
         const std::string target = "t" + std::to_string(i);
-        own.limits.named(target, 2);
+        own.limits.recordLimit(target, 2);
         now = own.limits.request(target, [&own](const Permit &permit) { own.later = permit; });
         if (!now)
             asked = target;
@@ -132,7 +135,7 @@
     own.limits.tick();
     cr_assert(own.later.has_value());
     cr_expect_not(own.later->granted);
-    cr_expect_gt(own.limits.rest(asked), 0ms);
+    cr_expect_gt(own.limits.remainingBackoff(asked), 0ms);
     cr_expect_not(own.limits.nextStep().has_value());
 }
 
@@ -146,7 +149,7 @@
     own.clock.advance(2s);
     const auto permit = own.request();
     cr_expect_not(permit->granted);
-    cr_expect_eq(permit->keeper, std::string());
+    cr_expect_eq(permit->owner, std::string());
     own.pass(3100ms);
     cr_expect(own.request()->granted);
 }
--- a/unittests/Quarantine/crashquarantinetest.cpp
+++ b/unittests/Quarantine/crashquarantinetest.cpp
@@ -1,6 +1,6 @@
 // Which request is held to be the cause when targets end, and which merely stood beside it.
 #include "jaytrack/Quarantine/crashquarantine.h"
-#include "jaytrack/Quarantine/quarantinenews.h"
+#include "jaytrack/Quarantine/quarantinemessage.h"
 
 #include <criterion/criterion.h>
 #include <criterion/parameterized.h>
@@ -131,7 +131,7 @@
         now = happening.atMs;
         quarantine.weigh();
         if (happening.target[0] == '\0')
-            quarantine.ranWell(happening.requests);
+            quarantine.recordSafeRun(happening.requests);
         else
             quarantine.targetEnded(endOf(happening.target, happening.requests,
                                          std::chrono::milliseconds(happening.heldMs)));
@@ -196,11 +196,11 @@
 // What is told reaches the other side as it was; times that nobody can mean are cut.
 Test(quarantineNews, survivesTheWire)
 {
-    QuarantineNews news;
+    QuarantineMessage news;
     news.ends.push_back({"t@5", {{"d1", std::chrono::milliseconds(70)}}, std::chrono::seconds(2)});
     news.barred.push_back({"d2", std::chrono::minutes(30), 4});
     news.ranWell.emplace_back("d3");
-    const QuarantineNews back = toNews(toNotices(news));
+    const QuarantineMessage back = fromNotices(toNotices(news));
     cr_assert_eq(back.ends.at(0).target, std::string("t@5"));
     cr_assert_eq(back.ends.at(0).ago, Duration(std::chrono::seconds(2)));
     cr_assert_eq(back.ends.at(0).suspects.at(0).digest, std::string("d1"));
@@ -214,7 +214,7 @@
     bar.leftMicros = std::numeric_limits<std::int64_t>::max();
     bar.ends = -7;
     forged.barred.push_back(bar);
-    const QuarantineNews cut = toNews(forged);
+    const QuarantineMessage cut = fromNotices(forged);
     cr_assert(cut.barred.at(0).left <= std::chrono::hours(24));
     cr_assert_eq(cut.barred.at(0).ends, 0);
 }
--- a/unittests/Quarantine/crashwatchtest.cpp
+++ b/unittests/Quarantine/crashwatchtest.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-class Recorder final : public QuarantineSpread, public CrashWatchListener
+class Recorder final : public QuarantineTransport, public CrashWatchListener
 {
 public:
-    void tellAll(const QuarantineNews &) override {}
-    void tellSome(const QuarantineNews &) override {}
+    void broadcastQuarantine(const QuarantineMessage &) override {}
+    void sendQuarantineToSample(const QuarantineMessage &) override {}
     void onRequestBarred(std::string_view digest) override { this->barred.emplace_back(digest); }
 
     std::vector<std::string> barred;
@@ -43,12 +43,12 @@
     TimePoint sentAt = clock.now();
     for (const char *target : {"a", "b", "c"}) {
         clock.advance(std::chrono::milliseconds(30));
-        watch.lostUnanswered(target, deadAddress(), "deadly", sentAt);
+        watch.recordUnansweredLoss(target, deadAddress(), "deadly", sentAt);
         sentAt = clock.now();
     }
     clock.advance(std::chrono::milliseconds(30));
     loop.run_for(std::chrono::milliseconds(300));
-    clock.advance(verdictTime);
+    clock.advance(verdictDelay);
     watch.tick();
     cr_assert_eq(recorder.barred.size(), 1);
     cr_assert(watch.isBarred("deadly"));
