--- a/include/jaytrack/Limits/namedlimits.h
+++ b/include/jaytrack/Limits/advertisedlimits.h
@@ -4,8 +4,8 @@
 // says so. Its answers overtake each other and reach instances at different moments, so what is
 // known is ordered by time: when a limit was last named, and when the latest request was sent whose
 // answer named none.
-#ifndef JAYTRACK_LIMITS_NAMEDLIMITS_H
-#define JAYTRACK_LIMITS_NAMEDLIMITS_H
+#ifndef JAYTRACK_LIMITS_ADVERTISEDLIMITS_H
+#define JAYTRACK_LIMITS_ADVERTISEDLIMITS_H
 
 #include "jaytrack/Support/clock.h"
 
--- a/include/jaytrack/Limits/limitmessage.h
+++ b/include/jaytrack/Limits/limitmessage.h
@@ -2,7 +2,7 @@
 #ifndef JAYTRACK_LIMITS_LIMITMESSAGE_H
 #define JAYTRACK_LIMITS_LIMITMESSAGE_H
 
-#include "jaytrack/Limits/namedlimits.h"
+#include "jaytrack/Limits/advertisedlimits.h"
 
 #include <cstdint>
 #include <vector>
--- a/include/jaytrack/Limits/limitaccount.h
+++ b/include/jaytrack/Limits/permitbucket.h
@@ -3,8 +3,8 @@
 // Load that it answers: all instances want the same target at once, at any moment, and the bound is
 // on the sum over some seconds. Permits accrue at the rate that the target names; a few are saved,
 // so that they are not lost while nobody asks for a moment.
-#ifndef JAYTRACK_LIMITS_LIMITACCOUNT_H
-#define JAYTRACK_LIMITS_LIMITACCOUNT_H
+#ifndef JAYTRACK_LIMITS_PERMITBUCKET_H
+#define JAYTRACK_LIMITS_PERMITBUCKET_H
 
 #include "jaytrack/Support/clock.h"
 
--- a/include/jaytrack/Limits/targetlimits.h
+++ b/include/jaytrack/Limits/targetlimits.h
@@ -9,9 +9,9 @@
 #ifndef JAYTRACK_LIMITS_TARGETLIMITS_H
 #define JAYTRACK_LIMITS_TARGETLIMITS_H
 
-#include "jaytrack/Limits/limitaccount.h"
+#include "jaytrack/Limits/permitbucket.h"
 #include "jaytrack/Limits/limitmessage.h"
-#include "jaytrack/Limits/namedlimits.h"
+#include "jaytrack/Limits/advertisedlimits.h"
 #include "jaytrack/Routing/instanceranking.h"
 #include "jaytrack/Routing/knownfleet.h"
 
--- a/lib/Limits/namedlimits.cpp
+++ b/lib/Limits/advertisedlimits.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Limits/namedlimits.h"
+#include "jaytrack/Limits/advertisedlimits.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lib/Limits/limitaccount.cpp
+++ b/lib/Limits/permitbucket.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Limits/limitaccount.h"
+#include "jaytrack/Limits/permitbucket.h"
 
 #include <algorithm>
 
--- a/unittests/Limits/namedlimitstest.cpp
+++ b/unittests/Limits/advertisedlimitstest.cpp
@@ -1,5 +1,5 @@
 // Which limit of a target holds, however its answers overtake each other.
-#include "jaytrack/Limits/namedlimits.h"
+#include "jaytrack/Limits/advertisedlimits.h"
 
 #include <criterion/criterion.h>
 #include <criterion/parameterized.h>
