--- a/include/jaytrack/Limits/advertisedlimits.h
+++ b/include/jaytrack/Limits/advertisedlimits.h
@@ -1,9 +1,9 @@
-// Which targets name a limit, in requests a second over all instances together.
+// Records which targets advertise a rate limit, in requests per second over all instances together.
 //
-// Load that it answers: a target in need says in its answers how much it takes, for as long as it
-// says so. Its answers overtake each other and reach instances at different moments, so what is
-// known is ordered by time: when a limit was last named, and when the latest request was sent whose
-// answer named none.
+// An overloaded target advertises the rate that it accepts in its answers, for as long as the limit
+// applies. Answers overtake each other and reach the instances at different times. The records are
+// therefore ordered by time: the time at which a limit was last advertised, and the time at which
+// the latest request was sent whose answer contained no limit.
 #ifndef JAYTRACK_LIMITS_ADVERTISEDLIMITS_H
 #define JAYTRACK_LIMITS_ADVERTISEDLIMITS_H
 
@@ -17,43 +17,43 @@
 
 namespace jaytrack {
 
-class NamedLimits
+class AdvertisedLimits
 {
 public:
-    // What is known of one target.
-    struct Word
+    struct State
     {
         std::string target;
         double perSecond = 0;
         Duration namedAgo{0};
-        std::optional<Duration> endedAgo; // nothing if no answer without a limit is known of
+        std::optional<Duration> endedAgo; // nullopt if no answer without a limit is known
 
         bool isLimited() const { return !this->endedAgo || *this->endedAgo > this->namedAgo; }
     };
 
-    explicit NamedLimits(const Clock &time)
+    explicit AdvertisedLimits(const Clock &time)
         : clock(time)
     {
     }
 
-    // The target named a limit so long ago. Returns whether others had better know: it named none
-    // before, or another one.
+    // Records that the target advertised a limit this long ago. Returns true if other instances
+    // have to be notified: the target had no limit before, or the rate changed by more than 5 %.
     bool recordLimit(std::string_view target, double perSecond, Duration ago = Duration(0));
 
-    // The target named none in its answer to a request that was sent so long ago. Returns whether
+    // Records an answer without a limit to a request that was sent this long ago. Returns true if
     // that ends a limit.
     bool recordNoLimit(std::string_view target, Duration sentAgo);
 
-    // The limit that holds; nothing if there is none.
+    // Returns the limit that is in force, or nullopt if there is none.
     std::optional<double> find(std::string_view target) const;
 
-    // All that is known of a target that named a limit lately; nothing if it did not.
-    std::optional<Word> wordOf(std::string_view target) const;
+    // Returns the record of a target that advertised a limit recently, also if the limit has ended
+    // since; nullopt if there is no record.
+    std::optional<State> stateOf(std::string_view target) const;
 
-    // Targets with a limit.
+    // Returns the targets whose limit is in force.
     std::vector<std::string> limited() const;
 
-    // The target's life ended.
+    // Removes the record of a target that has terminated.
     void forget(std::string_view target);
 
 private:
@@ -66,7 +66,7 @@
         bool isLimited() const { return !this->endedAt || *this->endedAt < this->namedAt; }
     };
 
-    void dropOld();
+    void removeExpired();
 
     const Clock &clock;
     std::map<std::string, Entry, std::less<>> entries;
--- a/include/jaytrack/Limits/limitgate.h
+++ b/include/jaytrack/Limits/limitgate.h
@@ -1,4 +1,5 @@
-// Asks for each request to a target that names a limit, and says in the log what is believed.
+// Requests permits for requests to targets that advertise a rate limit, and logs changes of the
+// limits. Adds locking, timers, metrics and logging to TargetLimits.
 #ifndef JAYTRACK_LIMITS_LIMITGATE_H
 #define JAYTRACK_LIMITS_LIMITGATE_H
 
@@ -16,71 +17,75 @@
 
 class Metrics;
 
-// onMessage(), setInstances() and tick() are for the loop's thread, the rest for any. Spread is
-// called from the thread of whoever calls, under the gate's lock, and must not come back here.
+// onMessage(), setInstances() and tick() have to be called from the event loop's thread; the other
+// functions may be called from any thread. The transport is called from the calling thread with the
+// mutex held, and must not call back into this class.
 class LimitGate
 {
 public:
-    using Decided = TargetLimits::Decided;
+    using PermitCallback = TargetLimits::PermitCallback;
 
     LimitGate(asio::io_context &loop, const Clock &time, std::string ownName,
-              std::size_t expectedOthers, std::uint64_t seed, LimitTransport &others,
+              std::size_t expectedOthers, std::uint64_t seed, LimitTransport &peerTransport,
               Metrics &counters);
     ~LimitGate();
     LimitGate(const LimitGate &) = delete;
     LimitGate &operator=(const LimitGate &) = delete;
 
     void setInstances(std::span<const std::string> others);
-    void onMessage(std::string_view from, const LimitMessage &news);
+    void onMessage(std::string_view from, const LimitMessage &message);
     void tick();
 
-    // The target named a limit in an answer, or none in the answer to a request that was sent so
-    // long ago.
+    // Records the limit in an answer of the target, or an answer without a limit to a request that
+    // was sent this long ago.
     void recordLimit(std::string_view target, double perSecond);
     void recordNoLimit(std::string_view target, Duration sentAgo);
 
-    // The target's life ended.
+    // Removes the state of a target that has terminated.
     void forget(std::string_view target);
 
     std::optional<double> limitOf(std::string_view target) const;
 
-    // How long no request had better be asked for; zero if one may be asked for now.
+    // Returns the time for which no permit should be requested for the target; zero if one may be
+    // requested now.
     Duration remainingBackoff(std::string_view target) const;
 
-    // Asks for one request to the target, as TargetLimits::request() does. The function is called
-    // from the loop's thread.
-    std::optional<Permit> request(std::string_view target, Decided later);
+    // Requests a permit for one request to the target, as TargetLimits::request() does. The
+    // callback is called from the event loop's thread.
+    std::optional<Permit> request(std::string_view target, PermitCallback callback);
 
-    // Asks again and again for so long. The function is called once, from the loop's thread or at
-    // once, with whether a request may go.
-    void requestWithin(std::string_view target, Duration patience,
-                       std::function<void(bool)> decided);
+    // Requests a permit repeatedly until it is granted or the time-out would pass. Calls the
+    // callback once, immediately or from the event loop's thread, with whether the request may be
+    // sent.
+    void requestWithin(std::string_view target, Duration timeout,
+                       std::function<void(bool)> callback);
 
-    // A request goes to the target though none was asked for, since it could not be held back.
+    // Charges a request that is sent without a permit because it could not be delayed.
     void countSent(std::string_view target);
 
-    // The time between two questions about the load of a target that is usually asked so often.
+    // Returns the interval between two load probes of a target: the default interval, or a longer
+    // one if the target has a limit.
     std::chrono::milliseconds probeInterval(std::string_view target,
-                                            std::chrono::milliseconds usual) const;
+                                            std::chrono::milliseconds defaultInterval) const;
 
 private:
-    struct PatientRequest;
+    struct RetriedRequest;
 
-    void tryAgain(const std::shared_ptr<PatientRequest> &request);
-    void goOnWith(const std::shared_ptr<PatientRequest> &request, const Permit &permit);
-    void runDue();
-    void watchAnswers();
-    void note(const Permit &permit);
-    void logWord(std::string_view target, std::string_view source) const;
+    void tryRequest(const std::shared_ptr<RetriedRequest> &request);
+    void onPermit(const std::shared_ptr<RetriedRequest> &request, const Permit &permit);
+    void runCallbacks();
+    void scheduleExpiryCheck();
+    void countPermit(const Permit &permit);
+    void logLimitChange(std::string_view target, std::string_view source) const;
 
     asio::io_context &context;
     const Clock &clock;
     Metrics &metrics;
-    mutable std::mutex mutex; // guards limits and due
+    mutable std::mutex mutex; // guards limits and pendingCallbacks
     TargetLimits limits;
-    std::vector<std::function<void()>> due; // decisions to be told without the lock
+    std::vector<std::function<void()>> pendingCallbacks; // to be called without the lock
     asio::steady_timer timer;
-    bool watching = false; // for the loop's thread
+    bool isExpiryCheckScheduled = false; // only used on the event loop's thread
     std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/include/jaytrack/Limits/limitmessage.h
+++ b/include/jaytrack/Limits/limitmessage.h
@@ -1,4 +1,5 @@
-// What instances tell each other of targets that name limits, and its form on the wire.
+// Messages between instances about targets that advertise rate limits, and their conversion to and
+// from the wire format.
 #ifndef JAYTRACK_LIMITS_LIMITMESSAGE_H
 #define JAYTRACK_LIMITS_LIMITMESSAGE_H
 
@@ -13,38 +14,38 @@
 class LimitNotices;
 } // namespace wire
 
-// Asks whoever keeps a target's account whether one request may go there.
-struct PermitAsk
+// Requests a permit for one request to a target from the instance that owns the target's limit.
+struct PermitRequest
 {
-    std::int64_t serial = 0; // of the asker
-    NamedLimits::Word word;  // what the asker knows of the target
-    bool counted = false;    // the request goes there anyhow, and no answer is wanted
+    std::int64_t serial = 0;       // assigned by the requester
+    AdvertisedLimits::State state; // the requester's record of the target
+    bool counted = false;          // the request is sent without a permit and needs no answer
 };
 
 struct PermitAnswer
 {
     std::int64_t serial = 0;
     bool granted = false;
-    Duration wait{0};       // after which the asker had better ask again
-    bool keeps = true;      // whether the sender keeps accounts at all by now
-    NamedLimits::Word word; // what the sender knows of the target
+    Duration wait{0};              // until the requester should retry
+    bool isOwnerReady = true;      // false while the sender is settling and grants no permits
+    AdvertisedLimits::State state; // the sender's record of the target
 };
 
 struct LimitMessage
 {
-    std::vector<NamedLimits::Word> words;
-    std::vector<PermitAsk> asks;
+    std::vector<AdvertisedLimits::State> states;
+    std::vector<PermitRequest> requests;
     std::vector<PermitAnswer> answers;
 
     bool isEmpty() const
     {
-        return this->words.empty() && this->asks.empty() && this->answers.empty();
+        return this->states.empty() && this->requests.empty() && this->answers.empty();
     }
 };
 
-wire::LimitNotices toNotices(const LimitMessage &news);
+wire::LimitNotices toNotices(const LimitMessage &message);
 
-// Numbers and times that no instance can mean are cut to the bounds.
+// Clamps numbers and times that are outside the valid range.
 LimitMessage fromNotices(const wire::LimitNotices &notices);
 
 } // namespace jaytrack
--- a/include/jaytrack/Limits/permitbucket.h
+++ b/include/jaytrack/Limits/permitbucket.h
@@ -1,8 +1,7 @@
-// What one instance has granted of a target's limit, and when it may grant more.
-//
-// Load that it answers: all instances want the same target at once, at any moment, and the bound is
-// on the sum over some seconds. Permits accrue at the rate that the target names; a few are saved,
-// so that they are not lost while nobody asks for a moment.
+// A token bucket for the permits that one instance grants for a target. The rate limit of a target
+// bounds the sum of the requests of all instances over some seconds, and all instances may request
+// permits at the same moment. Permits accrue at the rate that the target advertises. The bucket
+// stores a few of them, so that they are not lost while no instance requests one.
 #ifndef JAYTRACK_LIMITS_PERMITBUCKET_H
 #define JAYTRACK_LIMITS_PERMITBUCKET_H
 
@@ -14,41 +13,43 @@
 
 namespace jaytrack {
 
-class LimitAccount
+class PermitBucket
 {
 public:
-    // How fast permits accrue, and how many are saved at most.
     struct Rate
     {
         double perSecond = 0;
-        double saved = 1;
+        double capacity = 1; // maximum number of stored permits
     };
 
-    // An account opens empty: whoever kept it before may have spent all there was.
-    explicit LimitAccount(TimePoint now)
-        : accruedAt(now)
+    // A new bucket is empty, because the previous owner of the target's limit may have granted all
+    // permits that had accrued.
+    explicit PermitBucket(TimePoint now)
+        : refilledAt(now)
     {
     }
 
-    // Takes one permit, if there is one.
-    bool take(TimePoint now, const Rate &rate);
+    // Takes one permit. Returns false if less than one is available.
+    bool tryTake(TimePoint now, const Rate &rate);
 
-    // A request goes to the target in any case, so later ones wait for it.
-    void spend(TimePoint now, const Rate &rate);
+    // Charges a request that is sent without a permit. The balance may become negative, so that
+    // later requests wait for it.
+    void charge(TimePoint now, const Rate &rate);
 
-    // Until there is a permit again; zero if there is one.
-    Duration untilNext(TimePoint now, const Rate &rate) const;
+    // Returns the time until a permit is available, or zero if one is available now.
+    Duration timeToNextPermit(TimePoint now, const Rate &rate) const;
 
-    // An instance wants a permit; returns how many did within the last seconds.
-    std::size_t noteAsker(TimePoint now, std::string_view instance);
+    // Records that the instance requested a permit. Returns how many instances have requested one
+    // within the last 3 s.
+    std::size_t recordRequester(TimePoint now, std::string_view instance);
 
 private:
     double permitsAt(TimePoint now, const Rate &rate) const;
-    void accrue(TimePoint now, const Rate &rate);
+    void refill(TimePoint now, const Rate &rate);
 
-    TimePoint accruedAt;
+    TimePoint refilledAt;
     double permits = 0;
-    std::map<std::string, TimePoint, std::less<>> askers;
+    std::map<std::string, TimePoint, std::less<>> requesters;
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Limits/targetlimits.h
+++ b/include/jaytrack/Limits/targetlimits.h
@@ -1,17 +1,18 @@
-// Keeps a fleet to the limits that targets name.
+// Enforces the rate limits that targets advertise over a whole fleet of instances.
 //
-// Load that it answers: a target in need says in its answers how many requests a second it takes
-// from all instances together, a few a second perhaps, while hundreds of instances want it at once.
-// No fixed share of a few a second makes whole requests, and an instance to which a share falls may
-// have no caller for it. So one instance, the same for all that know the same fleet, keeps the
-// account of the target, and the others ask it for each request. What goes by no answer goes to
-// another target, or is refused.
+// An overloaded target advertises in its answers how many requests per second it accepts from all
+// instances together. This may be a few per second while hundreds of instances want to use the
+// target at once. Fixed shares do not work: the share of an instance would be less than one
+// request, and an instance that gets a share may have no caller for it. Therefore one instance owns
+// the token bucket of the target, and the others request a permit from it for each request. All
+// instances that know the same fleet select the same owner. A request that gets no permit goes to
+// another target or is refused.
 #ifndef JAYTRACK_LIMITS_TARGETLIMITS_H
 #define JAYTRACK_LIMITS_TARGETLIMITS_H
 
-#include "jaytrack/Limits/permitbucket.h"
-#include "jaytrack/Limits/limitmessage.h"
 #include "jaytrack/Limits/advertisedlimits.h"
+#include "jaytrack/Limits/limitmessage.h"
+#include "jaytrack/Limits/permitbucket.h"
 #include "jaytrack/Routing/instanceranking.h"
 #include "jaytrack/Routing/knownfleet.h"
 
@@ -25,171 +26,176 @@
 
 namespace jaytrack {
 
-// Carries the news to other instances. They may be lost, which the limits allow for.
+// Sends limit messages to other instances. Messages may be lost; TargetLimits tolerates that.
 class LimitTransport
 {
 public:
     virtual ~LimitTransport() = default;
-    virtual void sendLimits(std::string_view instance, const LimitMessage &news) = 0;
-    virtual void broadcastLimits(const LimitMessage &news) = 0;
+    virtual void sendLimits(std::string_view instance, const LimitMessage &message) = 0;
+    virtual void broadcastLimits(const LimitMessage &message) = 0;
 
-    // Tells some instances, others each time.
-    virtual void sendLimitsToSample(const LimitMessage &news) = 0;
+    // Sends the message to a random sample of the instances.
+    virtual void sendLimitsToSample(const LimitMessage &message) = 0;
 };
 
 struct TargetLimitOptions
 {
-    // Permits that an account saves, beside a part of a second's: instances that want one ask
-    // again at different moments, and a permit that finds nobody is lost.
-    double savedPermits = 2;
-    double savedSeconds = 0.1;
-
-    // The part of the rate that an instance grants for each other one that comes before it in the
-    // target's order: some of the fleet may still ask those. All together grant half too much at
-    // most, which targets bear.
-    double nextKeeperPart = 1.0 / 3;
-
-    // A target that names next to nothing still gets a request each so often, or nobody would hear
-    // that it has recovered.
-    double leastPerSecond = 0.25;
-
-    // An answer takes some milliseconds between data centres, and a plain request has a tenth of a
-    // second.
-    Duration answerBound = std::chrono::milliseconds(50);
-
-    // A keeper that left so many questions in a row unanswered is passed over for a while: it has
-    // ended, or stands behind a cut.
-    int missesToPassOver = 2;
-    Duration passedOverFor = std::chrono::seconds(1);
-
-    // An instance that has just started, or was held up, does not know the others, and they do not
-    // know of it.
+    // Capacity of a bucket: burstPermits plus the permits of burstSeconds. Instances retry at
+    // different times, and a permit that accrues while no instance requests it would otherwise be
+    // lost.
+    double burstPermits = 2;
+    double burstSeconds = 0.1;
+
+    // An instance grants this fraction of the rate to the power of its rank among the owners of the
+    // target, since part of the fleet may still send requests to the instances that precede it. All
+    // owners together grant at most 1.5 times the limit, which targets tolerate.
+    double nextOwnerShare = 1.0 / 3;
+
+    // Minimum rate. A target that advertises a limit near zero still gets a request at this rate,
+    // since only an answer can show that it has recovered.
+    double minPerSecond = 0.25;
+
+    // An answer takes a few milliseconds between data centres, and a plain request has a budget of
+    // 100 ms.
+    Duration answerTimeout = std::chrono::milliseconds(50);
+
+    // An owner that left this many consecutive permit requests unanswered is skipped for skipTime,
+    // because it has terminated or is unreachable.
+    int missesToSkip = 2;
+    Duration skipTime = std::chrono::seconds(1);
+
+    // An instance that has just started, or whose process stalled for stallThreshold, grants no
+    // permits for settleTime, because it does not know the other instances yet and they do not know
+    // it.
     Duration settleTime = std::chrono::seconds(3);
-    Duration heldUp = std::chrono::seconds(1);
-
-    // Questions to a keeper for each permit that accrues. More of them cost the keeper time and
-    // fewer leave permits without takers.
-    double asksPerPermit = 3;
-    Duration longestRest = std::chrono::seconds(2);
-    Duration shortestRest = std::chrono::milliseconds(10);
-    Duration lookAgain = std::chrono::milliseconds(200);
-
-    // How often some instances are told of all limits whose accounts this one keeps: one that
-    // starts, or missed the notice, knows them within a few of these.
-    Duration tellGap = std::chrono::seconds(1);
+    Duration stallThreshold = std::chrono::seconds(1);
+
+    // Permit requests to an owner for each permit that accrues. More of them cost the owner
+    // processing time; with fewer, permits remain unused.
+    double requestsPerPermit = 3;
+    Duration maxBackoff = std::chrono::seconds(2);
+    Duration minBackoff = std::chrono::milliseconds(10);
+    Duration noOwnerBackoff = std::chrono::milliseconds(200);
+
+    // Interval at which the limits that this instance owns are sent to a sample of the instances.
+    // An instance that starts, or that missed a message, receives them within a few intervals.
+    Duration announceInterval = std::chrono::seconds(1);
 };
 
-// Whether a request may go to a target, and on whose word.
+// The decision whether a request may be sent to a target, and the instance that made it.
 struct Permit
 {
     bool granted = false;
-    Duration wait{0};  // until another request had better be asked for
-    std::string owner; // empty if there is nobody to ask
+    Duration wait{0};  // until the next permit should be requested
+    std::string owner; // empty if no owner is known
 };
 
 class TargetLimits
 {
 public:
-    using Decided = std::function<void(const Permit &)>;
+    using PermitCallback = std::function<void(const Permit &)>;
 
-    // The settings name so many other instances, which may or may not be there.
+    // The parameter expected is the number of other instances in the settings, which may or may not
+    // be running.
     TargetLimits(const Clock &time, std::string ownName, std::size_t expected, std::uint64_t seed,
-                 LimitTransport &others, TargetLimitOptions given = {});
+                 LimitTransport &peerTransport, TargetLimitOptions tuning = {});
 
-    // The names of the other instances that are up.
+    // Sets the names of the other instances that are up.
     void setInstances(std::span<const std::string> others);
 
-    // The target named a limit in an answer, or none in the answer to a request that was sent so
-    // long ago. Returns whether that changed what is believed.
+    // Records the limit in an answer of the target, or an answer without a limit to a request that
+    // was sent this long ago. Both return true if the limit in force changed.
     bool recordLimit(std::string_view target, double perSecond);
     bool recordNoLimit(std::string_view target, Duration sentAgo);
 
-    // The target's life ended.
+    // Removes the state of a target that has terminated.
     void forget(std::string_view target);
 
-    // The limit that the target names; nothing if it names none.
+    // Returns the limit of the target, or nullopt if it has none.
     std::optional<double> limitOf(std::string_view target) const
     {
         return this->limits.find(target);
     }
 
-    // How long no request of this instance had better be asked for; zero if one may go or be asked
-    // for now.
+    // Returns the time for which this instance should not request a permit for the target; zero if
+    // it may request one now or needs none.
     Duration remainingBackoff(std::string_view target) const;
 
-    // Asks for one request to the target. What can be decided at once is returned: the target
-    // names no limit, or rests, or its account is kept here. Else the function is called once,
-    // after the keeper's answer or its bound. A request that is not granted leaves the target
-    // resting for a while.
-    std::optional<Permit> request(std::string_view target, const Decided &later);
+    // Requests a permit for one request to the target. Returns the permit if it can be decided at
+    // once: the target has no limit, the back-off time has not passed, or this instance owns the
+    // limit. Otherwise calls the callback once, after the owner's answer or a time-out. A denied
+    // request starts a back-off for the target.
+    std::optional<Permit> request(std::string_view target, const PermitCallback &callback);
 
-    // A request goes to the target though none was asked for, since it could not be held back.
+    // Charges a request that is sent without a permit because it could not be delayed.
     void countSent(std::string_view target);
 
-    // Takes what another instance tells. Returns the targets whose limit that changed.
-    std::vector<std::string> onMessage(std::string_view from, const LimitMessage &news);
+    // Processes a message of another instance. Returns the targets whose limit changed.
+    std::vector<std::string> onMessage(std::string_view from, const LimitMessage &message);
 
-    // Does what is due. Called often enough for the bound of answers while nextStep() is near.
+    // Expires permit requests and sends the periodic announcements. The caller has to call it often
+    // enough to observe answerTimeout while nextDeadline() returns a time.
     void tick();
 
-    // When the first question that is open will have waited too long; nothing if none is open.
-    std::optional<TimePoint> nextStep() const;
+    // Returns the deadline of the oldest pending permit request, or nullopt if none is pending.
+    std::optional<TimePoint> nextDeadline() const;
 
 private:
-    struct Open
+    struct PendingRequest
     {
         std::string target;
-        std::string keeper;
-        Decided later;
+        std::string owner;
+        PermitCallback callback;
         TimePoint deadline;
-        int asked = 1; // keepers so far
+        int attempts = 1; // number of owners tried
     };
 
     struct Peer
     {
-        int misses = 0; // in a row
-        TimePoint passedOverUntil;
+        int misses = 0; // consecutive
+        TimePoint skippedUntil;
     };
 
-    void noteHeldUp();
+    void detectStall();
     bool isSettled() const;
-    void rankSettled();
-    std::optional<std::string> keeperOf(std::string_view target);
-    std::size_t placeAt(std::string_view target);
-    double fleetPart() const;
-    LimitAccount::Rate rateOf(std::string_view target, double perSecond);
-    LimitAccount &accountOf(std::string_view target);
-    Permit decide(std::string_view asker, std::string_view target, double perSecond);
-    Duration restFor(const LimitAccount &account, const LimitAccount::Rate &rate,
-                     std::size_t askers);
-    std::optional<Permit> ask(const std::string &target, const Decided &later, int asked);
-    Permit concluded(const std::string &target, const Permit &permit);
-    void passOver(const std::string &keeper);
-    bool takeWord(const NamedLimits::Word &word);
-    void answerAsk(std::string_view from, const PermitAsk &asked);
-    void onAnswer(std::string_view from, const PermitAnswer &answer);
-    void onNoAnswer(const Open &question);
-    void expire();
-    void dropIdle();
-    LimitMessage wordsKept();
+    void updateRanking();
+    std::optional<std::string> ownerOf(std::string_view target);
+    std::size_t rankOf(std::string_view target);
+    double fleetShare() const;
+    PermitBucket::Rate rateOf(std::string_view target, double perSecond);
+    PermitBucket &bucketOf(std::string_view target);
+    Permit decide(std::string_view requester, std::string_view target, double perSecond);
+    Duration backoffFor(const PermitBucket &bucket, const PermitBucket::Rate &rate,
+                        std::size_t requesters);
+    std::optional<Permit> requestFromOwner(const std::string &target,
+                                           const PermitCallback &callback, int attempts);
+    Permit recordDecision(const std::string &target, const Permit &permit);
+    void skipOwner(const std::string &owner);
+    bool applyState(const AdvertisedLimits::State &state);
+    void onPermitRequest(std::string_view from, const PermitRequest &permitRequest);
+    void onPermitAnswer(std::string_view from, const PermitAnswer &answer);
+    void onMissingAnswer(const PendingRequest &pendingRequest);
+    void expirePending();
+    void removeIdle();
+    LimitMessage ownedLimits();
 
     const Clock &clock;
-    LimitTransport &spread;
+    LimitTransport &transport;
     TargetLimitOptions options;
     std::mt19937_64 random;
     std::string self;
     std::size_t expectedOthers;
-    TimePoint settlesFrom; // the start, or the end of the last hold-up
-    TimePoint lastSeen;
-    TimePoint toldAt;
-    NamedLimits limits;
+    TimePoint settlingSince; // the start, or the end of the last stall
+    TimePoint lastActiveAt;
+    TimePoint announcedAt;
+    AdvertisedLimits limits;
     KnownFleet fleet;
-    InstanceRanking ranking;      // of this instance and those of the others that may keep accounts
-    TimePoint rankedAgainAt = {}; // when one more will
-    std::map<std::string, LimitAccount, std::less<>> accounts;
-    std::map<std::string, TimePoint, std::less<>> restsUntil; // by target
-    std::map<std::string, Peer, std::less<>> peers;           // that left questions unanswered
-    std::map<std::int64_t, Open> open;                        // by serial, oldest first
+    InstanceRanking ranking;      // of this instance and the other instances that may own limits
+    TimePoint nextRankingAt = {}; // when the set of possible owners changes next
+    std::map<std::string, PermitBucket, std::less<>> buckets;
+    std::map<std::string, TimePoint, std::less<>> backoffUntil; // by target
+    std::map<std::string, Peer, std::less<>> peers; // that left permit requests unanswered
+    std::map<std::int64_t, PendingRequest> pending; // by serial, oldest first
     std::int64_t nextSerial = 1;
 };
 
--- a/include/jaytrack/Quarantine/crashquarantine.h
+++ b/include/jaytrack/Quarantine/crashquarantine.h
@@ -1,10 +1,11 @@
-// Which requests end the targets that run them, and are therefore given to none.
+// Identifies requests that crash the targets that run them, and bars them from all targets.
 //
-// Load that it answers: one request that its caller sends again and again, and under which each
-// target ends with some dozen others that it works on. Judging targets does not help, since each is
-// sound until it meets the request; what has to be kept in mind is the request. When a target ends,
-// every request to which it had not answered yet is suspected. One that stands at three ends with
-// no other explanation is barred everywhere; whatever merely stood beside it is cleared.
+// One request that its caller sends repeatedly can crash one target after the other, each with some
+// dozen other requests that it works on. Rating targets does not help, because each target is
+// healthy until it gets the request, so the records are kept per request. When a target ends, every
+// request that it had not answered yet is a suspect. A request that was a suspect at three ends
+// with no other explanation is barred everywhere. Requests that were only present at the ends of a
+// barred request are cleared.
 #ifndef JAYTRACK_QUARANTINE_CRASHQUARANTINE_H
 #define JAYTRACK_QUARANTINE_CRASHQUARANTINE_H
 
@@ -22,96 +23,97 @@
 
 struct CrashQuarantineOptions
 {
-    // Ends of targets that bar a request which stood alone at one of them. Fewer may be chance: a
-    // request whose target ends is given to another one, which may be ending too.
+    // Number of ends that bar a request which was the only suspect at one of them. Fewer may be a
+    // coincidence: a request whose target ends is sent to another one, which may be ending too.
     std::size_t endsToBar = 3;
 
-    // Ends that bar a request which never stood alone. One that waits beside the deadly one is lost
-    // with it and sent to the next target by the same rules, so it may stand at some of the same
-    // ends; a caller's attempts are over before they are this many.
-    std::size_t endsToBarInDoubt = 5;
+    // Number of ends that bar a request which was never the only suspect. A request that waits at
+    // the same target as the crashing one is lost with it and sent to the next target by the same
+    // rules, so it may be present at some of the same ends. A caller's attempts are used up before
+    // it reaches this number.
+    std::size_t endsToBarIfNeverAlone = 5;
 
-    // What other instances know of an end arrives within this time; a datagram takes milliseconds
-    // and is sent a second time after half of it.
+    // Reports of other instances about an end arrive within this time: a datagram takes
+    // milliseconds and is repeated after half of it.
     Duration settleTime = std::chrono::milliseconds(300);
 
-    // Targets that end together have a common cause, such as a rack's power, so they count once for
-    // a request that stood at several of them; unless it was sent to one after another had ended.
-    Duration apart = std::chrono::milliseconds(100);
+    // Targets that end within this time of each other have a common cause, such as a rack's power
+    // supply. A request that was at several of them counts them once, unless it was sent to one
+    // after another had ended.
+    Duration commonCauseWindow = std::chrono::milliseconds(100);
 
-    // How much the delays of two notices may differ: a request that seems to have been sent so long
-    // before another target ended may have been sent on because of that.
+    // Maximum difference between the delays of two reports. A request that appears to have been
+    // sent up to this long before another target ended may have been retried because of that end.
     Duration noticeJitter = std::chrono::milliseconds(20);
 
-    // One end is told by several instances within this time of each other; a later one is another
-    // life of the target.
-    Duration sameEnd = std::chrono::seconds(1);
+    // Reports of one target's end that differ by less than this time are about the same end. A
+    // later one is about another life of the target.
+    Duration sameEndWindow = std::chrono::seconds(1);
 
-    // What lies further back than this has nothing to do with each other.
-    Duration evidenceLife = std::chrono::minutes(10);
+    // Ends that are older than this are ignored, because they are unlikely to be related.
+    Duration evidenceLifetime = std::chrono::minutes(10);
 
-    // How long a request stays barred. After that it may run again: targets may have been mended
-    // meanwhile. If one ends under it, that one end bars it again.
-    Duration barTime = std::chrono::minutes(30);
+    // How long a request stays barred. After that it may run again, because the targets may have
+    // been fixed. If a target ends under it during the probation, that single end bars it again.
+    Duration barDuration = std::chrono::minutes(30);
     Duration probation = std::chrono::hours(24);
 
-    // Bounds of memory: some 40 bytes a suspect.
-    std::size_t mostEnds = 128;
-    std::size_t mostSuspects = 512;
-    std::size_t mostBars = 256;
+    // Memory bounds; a suspect takes about 40 bytes.
+    std::size_t maxEnds = 128;
+    std::size_t maxSuspects = 512;
+    std::size_t maxBars = 256;
 };
 
-// A request that had got no answer when its target ended.
+// A request that its target had not answered when it ended.
 struct Suspect
 {
     std::string digest;
-    Duration held{0}; // how long it had been at the target
+    Duration timeAtTarget{0}; // between sending and the end
 };
 
-// The end of a target, with the requests that it had not answered at all.
+// The end of a target with the requests to which it had sent no part of an answer.
 struct TargetEnd
 {
-    std::string target; // names its life
+    std::string target; // identifies one life of the target
     std::vector<Suspect> suspects;
     Duration ago{0};
 };
 
-// A request that no target may be given.
 struct BarredRequest
 {
     std::string digest;
-    Duration left{0};
-    std::size_t ends = 0; // of targets under it
+    Duration remaining{0};
+    std::size_t ends = 0; // ends of targets that it caused
 };
 
 class CrashQuarantine
 {
 public:
-    explicit CrashQuarantine(const Clock &time, CrashQuarantineOptions given = {})
+    explicit CrashQuarantine(const Clock &time, CrashQuarantineOptions tuning = {})
         : clock(time)
-        , options(given)
+        , options(tuning)
     {
     }
 
-    // Several instances may tell of one end, each with its own requests.
-    void targetEnded(const TargetEnd &end);
+    // Records an end. Several instances may report the same end, each with its own requests.
+    void recordEnd(const TargetEnd &end);
 
-    // A target ran the request without harm, which clears it. Returns whether it was suspected, so
-    // that others may have to be told.
+    // Clears a request that a target ran without ending. Returns true if it was a suspect, so that
+    // other instances may have to be notified.
     bool recordSafeRun(std::string_view digest);
 
-    // Weighs the ends that everybody can have told of by now, if there are new ones. Returns what
-    // is barred from now on.
-    std::vector<BarredRequest> weigh();
+    // Evaluates the ends whose reports from all instances have arrived by now, if there are new
+    // ones. Returns the requests that are barred as a result.
+    std::vector<BarredRequest> evaluate();
 
-    // Takes over what another instance has barred. Returns whether it is new here.
+    // Adds a request that another instance has barred. Returns false if it was barred already.
     bool bar(const BarredRequest &request);
 
     bool isBarred(std::string_view digest) const;
     Duration barredFor(std::string_view digest) const;
     std::vector<BarredRequest> barred() const;
 
-    // Whether nothing is suspected or barred, so that no request need be looked at.
+    // Returns true if no request is suspected or barred, so that requests need not be checked.
     bool isIdle() const { return this->ends.empty() && this->bars.empty(); }
 
 private:
@@ -119,8 +121,8 @@
     {
         std::string target;
         TimePoint endedAt;
-        std::map<std::string, TimePoint, std::less<>> suspects; // with the moment of sending
-        bool explained = false;                                 // by a request that is barred
+        std::map<std::string, TimePoint, std::less<>> suspects; // with the time of sending
+        bool explained = false;                                 // by a barred request
     };
 
     struct Bar
@@ -129,29 +131,29 @@
         std::size_t ends = 0;
     };
 
-    // What speaks against a request.
+    // The evidence against one request.
     struct Evidence
     {
         std::size_t ends = 0;
-        bool stoodAlone = false; // at one of them
+        bool wasOnlySuspect = false; // at one of the ends
         TimePoint lastEnd;
     };
     using EvidenceByDigest = std::map<std::string_view, Evidence>;
 
-    End &endOf(std::string_view target, TimePoint endedAt);
-    void dropOld();
-    void planWeighing();
+    End &findOrAddEnd(std::string_view target, TimePoint endedAt);
+    void removeExpired();
+    void scheduleEvaluation();
     bool isSettled(const End &end) const;
     EvidenceByDigest collectEvidence() const;
-    bool isEnough(std::string_view digest, const Evidence &evidence) const;
-    std::string_view mostSuspect(const EvidenceByDigest &all) const;
-    void explain(std::string_view digest);
+    bool isSufficient(std::string_view digest, const Evidence &evidence) const;
+    std::string_view primarySuspect(const EvidenceByDigest &all) const;
+    void markExplained(std::string_view digest);
 
     const Clock &clock;
     CrashQuarantineOptions options;
-    TimePoint weighAt = TimePoint::max();         // the next end is settled by then
-    std::deque<End> ends;                         // in the order in which they happened
-    std::map<std::string, Bar, std::less<>> bars; // kept through the probation
+    TimePoint evaluateAt = TimePoint::max();      // when the next end has settled
+    std::deque<End> ends;                         // ordered by time
+    std::map<std::string, Bar, std::less<>> bars; // including those on probation
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Quarantine/quarantinemessage.h
+++ b/include/jaytrack/Quarantine/quarantinemessage.h
@@ -1,4 +1,5 @@
-// What instances tell each other of requests that end targets, and its form on the wire.
+// Messages between instances about requests that crash targets, and their conversion to and from
+// the wire format.
 #ifndef JAYTRACK_QUARANTINE_QUARANTINEMESSAGE_H
 #define JAYTRACK_QUARANTINE_QUARANTINEMESSAGE_H
 
@@ -10,25 +11,25 @@
 class QuarantineNotices;
 } // namespace wire
 
-// Instances that are told of what is barred each time. One that starts misses the telling of 340
-// others three times in a row with a chance of one in ten thousand.
+// Number of instances that receive each periodic message about barred requests. In a fleet of 340
+// others, an instance that starts misses three rounds in a row with a probability of 1 in 10,000.
 constexpr std::size_t gossipFanout = 3;
 
 struct QuarantineMessage
 {
     std::vector<TargetEnd> ends;
     std::vector<BarredRequest> barred;
-    std::vector<std::string> ranWell; // digests
+    std::vector<std::string> safeRuns; // digests
 
     bool isEmpty() const
     {
-        return this->ends.empty() && this->barred.empty() && this->ranWell.empty();
+        return this->ends.empty() && this->barred.empty() && this->safeRuns.empty();
     }
 };
 
-wire::QuarantineNotices toNotices(const QuarantineMessage &news);
+wire::QuarantineNotices toNotices(const QuarantineMessage &message);
 
-// Times that no instance can mean are cut to the bounds.
+// Clamps times that are outside the valid range.
 QuarantineMessage fromNotices(const wire::QuarantineNotices &notices);
 
 } // namespace jaytrack
--- a/include/jaytrack/Quarantine/requestdigest.h
+++ b/include/jaytrack/Quarantine/requestdigest.h
@@ -1,5 +1,5 @@
-// Recognises a request that its caller sends again. Each attempt has an id of its own, so what the
-// request asks is all that stays the same.
+// Computes a digest that identifies a request which its caller sends repeatedly. Each attempt has
+// its own id, so only the content of the request is the same in all of them.
 #ifndef JAYTRACK_QUARANTINE_REQUESTDIGEST_H
 #define JAYTRACK_QUARANTINE_REQUESTDIGEST_H
 
@@ -8,7 +8,7 @@
 
 namespace jaytrack {
 
-// What stays the same when a caller sends its request again.
+// The parts of a request that are the same in all attempts.
 struct RequestContent
 {
     std::string_view method;
@@ -18,8 +18,8 @@
     std::string_view body;
 };
 
-// 128 bits of SHA-256 as 32 hexadecimal digits. A secret of the body cannot be read from it, so it
-// may stand in logs.
+// Returns 128 bits of SHA-256 as 32 hexadecimal digits. The body cannot be recovered from the
+// digest, so it may be written to logs.
 std::string requestDigest(const RequestContent &content);
 
 } // namespace jaytrack
--- a/lib/Limits/advertisedlimits.cpp
+++ b/lib/Limits/advertisedlimits.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-// A limit that moves by less than this part of it is not told to others: each answer may name a
-// slightly different one.
-constexpr double newsPart = 0.05;
+// Changes of a limit by at most this fraction are not sent to other instances, because each answer
+// may advertise a slightly different limit.
+constexpr double reportedChange = 0.05;
 
-// An ended limit is remembered for longer than what others say of it may be under way.
-constexpr std::chrono::seconds endedKept{60};
+// An ended limit is kept for longer than messages of other instances about it may be in transit.
+constexpr std::chrono::seconds endedRetention{60};
 
-// A target that nobody has had an answer of for so long is gone, or gets no requests.
-constexpr std::chrono::minutes namedKept{10};
+// A limit that no instance has seen in an answer for this long belongs to a target that has
+// terminated or gets no requests.
+constexpr std::chrono::minutes limitRetention{10};
 
 } // namespace
 
-void NamedLimits::dropOld()
+void AdvertisedLimits::removeExpired()
 {
     const TimePoint now = this->clock.now();
     std::erase_if(this->entries, [now](const auto &entry) {
-        return entry.second.isLimited() ? entry.second.namedAt < now - namedKept
-                                        : *entry.second.endedAt < now - endedKept;
+        return entry.second.isLimited() ? entry.second.namedAt < now - limitRetention
+                                        : *entry.second.endedAt < now - endedRetention;
     });
 }
 
-bool NamedLimits::recordLimit(std::string_view target, double perSecond, Duration ago)
+bool AdvertisedLimits::recordLimit(std::string_view target, double perSecond, Duration ago)
 {
-    this->dropOld();
+    this->removeExpired();
     const TimePoint at = this->clock.now() - ago;
     const auto [found, isNew] = this->entries.try_emplace(std::string(target));
     Entry &entry = found->second;
@@ -42,10 +43,10 @@
     entry.namedAt = at;
     if (!entry.isLimited())
         return false;
-    return !wasLimited || std::abs(perSecond - before) > before * newsPart;
+    return !wasLimited || std::abs(perSecond - before) > before * reportedChange;
 }
 
-bool NamedLimits::recordNoLimit(std::string_view target, Duration sentAgo)
+bool AdvertisedLimits::recordNoLimit(std::string_view target, Duration sentAgo)
 {
     const auto found = this->entries.find(target);
     if (found == this->entries.end())
@@ -57,7 +58,7 @@
     return wasLimited && !entry.isLimited();
 }
 
-std::optional<double> NamedLimits::find(std::string_view target) const
+std::optional<double> AdvertisedLimits::find(std::string_view target) const
 {
     const auto found = this->entries.find(target);
     if (found == this->entries.end() || !found->second.isLimited())
@@ -65,20 +66,20 @@
     return found->second.perSecond;
 }
 
-std::optional<NamedLimits::Word> NamedLimits::wordOf(std::string_view target) const
+std::optional<AdvertisedLimits::State> AdvertisedLimits::stateOf(std::string_view target) const
 {
     const auto found = this->entries.find(target);
     if (found == this->entries.end())
         return std::nullopt;
     const TimePoint now = this->clock.now();
     const Entry &entry = found->second;
-    Word word{std::string(target), entry.perSecond, now - entry.namedAt, std::nullopt};
+    State state{std::string(target), entry.perSecond, now - entry.namedAt, std::nullopt};
     if (entry.endedAt)
-        word.endedAgo = now - *entry.endedAt;
-    return word;
+        state.endedAgo = now - *entry.endedAt;
+    return state;
 }
 
-std::vector<std::string> NamedLimits::limited() const
+std::vector<std::string> AdvertisedLimits::limited() const
 {
     std::vector<std::string> targets;
     for (const auto &[target, entry] : this->entries) {
@@ -88,7 +89,7 @@
     return targets;
 }
 
-void NamedLimits::forget(std::string_view target)
+void AdvertisedLimits::forget(std::string_view target)
 {
     const auto found = this->entries.find(target);
     if (found != this->entries.end())
--- a/lib/Limits/limitgate.cpp
+++ b/lib/Limits/limitgate.cpp
@@ -12,30 +12,31 @@
 
 namespace {
 
-// How often it is looked whether a keeper's answer is overdue, while one is awaited.
-constexpr std::chrono::milliseconds watchGap{10};
+// Interval of the check for expired permit requests while any is pending.
+constexpr std::chrono::milliseconds expiryCheckInterval{10};
 
-// Of so many requests that a target with a limit takes one may be a question about its load.
-constexpr double requestsPerQuestion = 4;
-constexpr std::chrono::milliseconds longestGap{10'000};
+// A load probe counts against the target's limit, so at most one in this many permitted requests is
+// a probe.
+constexpr double requestsPerProbe = 4;
+constexpr std::chrono::milliseconds maxProbeInterval{10'000};
 
 } // namespace
 
-struct LimitGate::PatientRequest
+struct LimitGate::RetriedRequest
 {
     std::string target;
-    TimePoint until;
-    std::function<void(bool)> decided;
+    TimePoint deadline;
+    std::function<void(bool)> callback;
     asio::steady_timer timer;
 };
 
 LimitGate::LimitGate(asio::io_context &loop, const Clock &time, std::string ownName,
-                     std::size_t expectedOthers, std::uint64_t seed, LimitTransport &others,
+                     std::size_t expectedOthers, std::uint64_t seed, LimitTransport &peerTransport,
                      Metrics &counters)
     : context(loop)
     , clock(time)
     , metrics(counters)
-    , limits(time, std::move(ownName), expectedOthers, seed, others)
+    , limits(time, std::move(ownName), expectedOthers, seed, peerTransport)
     , timer(loop)
 {
 }
@@ -45,7 +46,7 @@
     *this->alive = false;
 }
 
-void LimitGate::logWord(std::string_view target, std::string_view source) const
+void LimitGate::logLimitChange(std::string_view target, std::string_view source) const
 {
     const std::optional<double> perSecond = this->limits.limitOf(target);
     if (!perSecond) {
@@ -65,14 +66,14 @@
     this->limits.setInstances(others);
 }
 
-void LimitGate::onMessage(std::string_view from, const LimitMessage &news)
+void LimitGate::onMessage(std::string_view from, const LimitMessage &message)
 {
     {
         const std::lock_guard lock(this->mutex);
-        for (const std::string &target : this->limits.onMessage(from, news))
-            this->logWord(target, "peer");
+        for (const std::string &target : this->limits.onMessage(from, message))
+            this->logLimitChange(target, "peer");
     }
-    this->runDue();
+    this->runCallbacks();
 }
 
 void LimitGate::tick()
@@ -81,21 +82,21 @@
         const std::lock_guard lock(this->mutex);
         this->limits.tick();
     }
-    this->runDue();
+    this->runCallbacks();
 }
 
 void LimitGate::recordLimit(std::string_view target, double perSecond)
 {
     const std::lock_guard lock(this->mutex);
     if (this->limits.recordLimit(target, perSecond))
-        this->logWord(target, "answer");
+        this->logLimitChange(target, "answer");
 }
 
 void LimitGate::recordNoLimit(std::string_view target, Duration sentAgo)
 {
     const std::lock_guard lock(this->mutex);
     if (this->limits.recordNoLimit(target, sentAgo))
-        this->logWord(target, "answer");
+        this->logLimitChange(target, "answer");
 }
 
 void LimitGate::forget(std::string_view target)
@@ -116,72 +117,72 @@
     return this->limits.remainingBackoff(target);
 }
 
-void LimitGate::note(const Permit &permit)
+void LimitGate::countPermit(const Permit &permit)
 {
     this->metrics.count(permit.granted ? "jaytrack_permits_total{result=\"granted\"}"
                                        : "jaytrack_permits_total{result=\"denied\"}");
 }
 
-std::optional<Permit> LimitGate::request(std::string_view target, Decided later)
+std::optional<Permit> LimitGate::request(std::string_view target, PermitCallback callback)
 {
     const std::lock_guard lock(this->mutex);
     if (!this->limits.limitOf(target))
         return Permit{true, Duration(0), {}};
-    std::optional<Permit> permit =
-            this->limits.request(target, [this, later = std::move(later)](const Permit &decided) {
-                this->due.emplace_back([later, decided] { later(decided); });
-                this->note(decided);
+    std::optional<Permit> permit = this->limits.request(
+            target, [this, callback = std::move(callback)](const Permit &decided) {
+                this->pendingCallbacks.emplace_back([callback, decided] { callback(decided); });
+                this->countPermit(decided);
             });
     if (permit) {
-        this->note(*permit);
+        this->countPermit(*permit);
         return permit;
     }
     asio::post(this->context, [this, kept = this->alive] {
         if (*kept)
-            this->watchAnswers();
+            this->scheduleExpiryCheck();
     });
     return std::nullopt;
 }
 
-void LimitGate::requestWithin(std::string_view target, Duration patience,
-                              std::function<void(bool)> decided)
+void LimitGate::requestWithin(std::string_view target, Duration timeout,
+                              std::function<void(bool)> callback)
 {
-    this->tryAgain(std::make_shared<PatientRequest>(
-            PatientRequest{std::string(target), this->clock.now() + patience, std::move(decided),
+    this->tryRequest(std::make_shared<RetriedRequest>(
+            RetriedRequest{std::string(target), this->clock.now() + timeout, std::move(callback),
                            asio::steady_timer(this->context)}));
 }
 
-void LimitGate::tryAgain(const std::shared_ptr<PatientRequest> &request)
+void LimitGate::tryRequest(const std::shared_ptr<RetriedRequest> &request)
 {
     const auto later = [this, kept = this->alive, request](const Permit &permit) {
         if (*kept)
-            this->goOnWith(request, permit);
+            this->onPermit(request, permit);
     };
     if (const auto permit = this->request(request->target, later))
-        this->goOnWith(request, *permit);
+        this->onPermit(request, *permit);
 }
 
-void LimitGate::goOnWith(const std::shared_ptr<PatientRequest> &request, const Permit &permit)
+void LimitGate::onPermit(const std::shared_ptr<RetriedRequest> &request, const Permit &permit)
 {
-    if (permit.granted || this->clock.now() + permit.wait > request->until)
-        return request->decided(permit.granted);
+    if (permit.granted || this->clock.now() + permit.wait > request->deadline)
+        return request->callback(permit.granted);
     request->timer.expires_after(permit.wait);
     request->timer.async_wait([this, kept = this->alive, request](const asio::error_code &failure) {
         if (!failure && *kept)
-            this->tryAgain(request);
+            this->tryRequest(request);
     });
 }
 
 std::chrono::milliseconds LimitGate::probeInterval(std::string_view target,
-                                                   std::chrono::milliseconds usual) const
+                                                   std::chrono::milliseconds defaultInterval) const
 {
     const std::optional<double> limit = this->limitOf(target);
     if (!limit)
-        return usual;
-    const double most = std::chrono::duration<double>(longestGap).count();
-    const double spaced = *limit > 0 ? std::min(requestsPerQuestion / *limit, most) : most;
-    return std::max(usual, std::chrono::duration_cast<std::chrono::milliseconds>(
-                                   std::chrono::duration<double>(spaced)));
+        return defaultInterval;
+    const double maxGap = std::chrono::duration<double>(maxProbeInterval).count();
+    const double gap = *limit > 0 ? std::min(requestsPerProbe / *limit, maxGap) : maxGap;
+    return std::max(defaultInterval, std::chrono::duration_cast<std::chrono::milliseconds>(
+                                             std::chrono::duration<double>(gap)));
 }
 
 void LimitGate::countSent(std::string_view target)
@@ -190,34 +191,34 @@
     this->limits.countSent(target);
 }
 
-void LimitGate::runDue()
+void LimitGate::runCallbacks()
 {
-    std::vector<std::function<void()>> now;
+    std::vector<std::function<void()>> callbacks;
     {
         const std::lock_guard lock(this->mutex);
-        now.swap(this->due);
+        callbacks.swap(this->pendingCallbacks);
     }
-    for (const std::function<void()> &step : now)
-        step();
+    for (const std::function<void()> &callback : callbacks)
+        callback();
 }
 
-void LimitGate::watchAnswers()
+void LimitGate::scheduleExpiryCheck()
 {
-    if (this->watching)
+    if (this->isExpiryCheckScheduled)
         return;
     {
         const std::lock_guard lock(this->mutex);
-        if (!this->limits.nextStep())
+        if (!this->limits.nextDeadline())
             return;
     }
-    this->watching = true;
-    this->timer.expires_after(watchGap);
+    this->isExpiryCheckScheduled = true;
+    this->timer.expires_after(expiryCheckInterval);
     this->timer.async_wait([this, kept = this->alive](const asio::error_code &failure) {
         if (failure || !*kept)
             return;
-        this->watching = false;
+        this->isExpiryCheckScheduled = false;
         this->tick();
-        this->watchAnswers();
+        this->scheduleExpiryCheck();
     });
 }
 
--- a/lib/Limits/limitmessage.cpp
+++ b/lib/Limits/limitmessage.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// Longer than any word is kept; a larger number would overflow as nanoseconds.
-constexpr std::chrono::microseconds longestTold = std::chrono::hours(24);
+// Longer than the retention time of any record. A larger number of microseconds would overflow when
+// converted to nanoseconds.
+constexpr std::chrono::microseconds maxAge = std::chrono::hours(24);
 
-constexpr std::int64_t neverEnded = -1;
+constexpr std::int64_t notEnded = -1;
 
 std::int64_t toMicros(Duration time)
 {
@@ -21,51 +22,51 @@
 
 Duration toTime(std::int64_t micros)
 {
-    return std::chrono::microseconds(std::clamp<std::int64_t>(micros, 0, longestTold.count()));
+    return std::chrono::microseconds(std::clamp<std::int64_t>(micros, 0, maxAge.count()));
 }
 
-wire::LimitWordNotice toNotice(const NamedLimits::Word &word)
+wire::LimitWordNotice toNotice(const AdvertisedLimits::State &state)
 {
     wire::LimitWordNotice notice;
-    notice.target = word.target;
-    notice.perSecond = word.perSecond;
-    notice.namedAgoMicros = toMicros(word.namedAgo);
-    notice.endedAgoMicros = word.endedAgo ? toMicros(*word.endedAgo) : neverEnded;
+    notice.target = state.target;
+    notice.perSecond = state.perSecond;
+    notice.namedAgoMicros = toMicros(state.namedAgo);
+    notice.endedAgoMicros = state.endedAgo ? toMicros(*state.endedAgo) : notEnded;
     return notice;
 }
 
-NamedLimits::Word toWord(const wire::LimitWordNotice &notice)
+AdvertisedLimits::State toState(const wire::LimitWordNotice &notice)
 {
-    NamedLimits::Word word;
-    word.target = notice.target;
-    word.perSecond = std::isfinite(notice.perSecond) ? std::max(0.0, notice.perSecond) : 0;
-    word.namedAgo = toTime(notice.namedAgoMicros);
+    AdvertisedLimits::State state;
+    state.target = notice.target;
+    state.perSecond = std::isfinite(notice.perSecond) ? std::max(0.0, notice.perSecond) : 0;
+    state.namedAgo = toTime(notice.namedAgoMicros);
     if (notice.endedAgoMicros >= 0)
-        word.endedAgo = toTime(notice.endedAgoMicros);
-    return word;
+        state.endedAgo = toTime(notice.endedAgoMicros);
+    return state;
 }
 
 } // namespace
 
-wire::LimitNotices toNotices(const LimitMessage &news)
+wire::LimitNotices toNotices(const LimitMessage &message)
 {
     wire::LimitNotices notices;
-    for (const NamedLimits::Word &word : news.words)
-        notices.words.push_back(toNotice(word));
-    for (const PermitAsk &ask : news.asks) {
+    for (const AdvertisedLimits::State &state : message.states)
+        notices.words.push_back(toNotice(state));
+    for (const PermitRequest &request : message.requests) {
         wire::PermitAskNotice notice;
-        notice.serial = ask.serial;
-        notice.word = toNotice(ask.word);
-        notice.counted = ask.counted;
+        notice.serial = request.serial;
+        notice.word = toNotice(request.state);
+        notice.counted = request.counted;
         notices.asks.push_back(std::move(notice));
     }
-    for (const PermitAnswer &answer : news.answers) {
+    for (const PermitAnswer &answer : message.answers) {
         wire::PermitAnswerNotice notice;
         notice.serial = answer.serial;
         notice.granted = answer.granted;
         notice.waitMicros = toMicros(answer.wait);
-        notice.keeps = answer.keeps;
-        notice.word = toNotice(answer.word);
+        notice.keeps = answer.isOwnerReady;
+        notice.word = toNotice(answer.state);
         notices.answers.push_back(std::move(notice));
     }
     return notices;
@@ -73,15 +74,15 @@
 
 LimitMessage fromNotices(const wire::LimitNotices &notices)
 {
-    LimitMessage news;
+    LimitMessage message;
     for (const wire::LimitWordNotice &notice : notices.words)
-        news.words.push_back(toWord(notice));
+        message.states.push_back(toState(notice));
     for (const wire::PermitAskNotice &notice : notices.asks)
-        news.asks.push_back({notice.serial, toWord(notice.word), notice.counted});
+        message.requests.push_back({notice.serial, toState(notice.word), notice.counted});
     for (const wire::PermitAnswerNotice &notice : notices.answers)
-        news.answers.push_back({notice.serial, notice.granted, toTime(notice.waitMicros),
-                                notice.keeps, toWord(notice.word)});
-    return news;
+        message.answers.push_back({notice.serial, notice.granted, toTime(notice.waitMicros),
+                                   notice.keeps, toState(notice.word)});
+    return message;
 }
 
 } // namespace jaytrack
--- a/lib/Limits/permitbucket.cpp
+++ b/lib/Limits/permitbucket.cpp
@@ -6,43 +6,43 @@
 
 namespace {
 
-// Whoever wants a permit asks again within this.
-constexpr std::chrono::seconds askerKept{3};
+// An instance that still needs a permit requests it again within this time.
+constexpr std::chrono::seconds requesterRetention{3};
 
-// Requests that could not be held back cost no more than this many permits that are yet to accrue,
-// or a target that got many of them would get nothing else for long.
-constexpr double mostOwed = 4;
+// Requests that are sent without a permit are charged to at most this many future permits. Without
+// this bound, a target that received many of them would get no other request for a long time.
+constexpr double maxDebt = 4;
 
 } // namespace
 
-double LimitAccount::permitsAt(TimePoint now, const Rate &rate) const
+double PermitBucket::permitsAt(TimePoint now, const Rate &rate) const
 {
-    const double passed = std::chrono::duration<double>(now - this->accruedAt).count();
-    return std::min(rate.saved, this->permits + passed * rate.perSecond);
+    const double passed = std::chrono::duration<double>(now - this->refilledAt).count();
+    return std::min(rate.capacity, this->permits + passed * rate.perSecond);
 }
 
-void LimitAccount::accrue(TimePoint now, const Rate &rate)
+void PermitBucket::refill(TimePoint now, const Rate &rate)
 {
     this->permits = this->permitsAt(now, rate);
-    this->accruedAt = now;
+    this->refilledAt = now;
 }
 
-bool LimitAccount::take(TimePoint now, const Rate &rate)
+bool PermitBucket::tryTake(TimePoint now, const Rate &rate)
 {
-    this->accrue(now, rate);
+    this->refill(now, rate);
     if (this->permits < 1)
         return false;
     this->permits -= 1;
     return true;
 }
 
-void LimitAccount::spend(TimePoint now, const Rate &rate)
+void PermitBucket::charge(TimePoint now, const Rate &rate)
 {
-    this->accrue(now, rate);
-    this->permits = std::max(-mostOwed, this->permits - 1);
+    this->refill(now, rate);
+    this->permits = std::max(-maxDebt, this->permits - 1);
 }
 
-Duration LimitAccount::untilNext(TimePoint now, const Rate &rate) const
+Duration PermitBucket::timeToNextPermit(TimePoint now, const Rate &rate) const
 {
     const double missing = 1 - this->permitsAt(now, rate);
     if (missing <= 0 || rate.perSecond <= 0)
@@ -51,12 +51,13 @@
     return std::chrono::duration_cast<Duration>(wait);
 }
 
-std::size_t LimitAccount::noteAsker(TimePoint now, std::string_view instance)
+std::size_t PermitBucket::recordRequester(TimePoint now, std::string_view instance)
 {
-    std::erase_if(this->askers,
-                  [now](const auto &asker) { return asker.second < now - askerKept; });
-    this->askers.insert_or_assign(std::string(instance), now);
-    return this->askers.size();
+    std::erase_if(this->requesters, [now](const auto &requester) {
+        return requester.second < now - requesterRetention;
+    });
+    this->requesters.insert_or_assign(std::string(instance), now);
+    return this->requesters.size();
 }
 
 } // namespace jaytrack
--- a/lib/Limits/targetlimits.cpp
+++ b/lib/Limits/targetlimits.cpp
@@ -9,115 +9,120 @@
 
 namespace {
 
-// Keepers that are asked for one request: the first one, and another if that one does not answer.
-constexpr int mostAsked = 2;
+// Owners that are tried for one request: the first one, and a second one if the first does not
+// answer.
+constexpr int maxOwnerAttempts = 2;
 
-// Words in one message: a datagram carries them. More targets than these hardly share a keeper.
-constexpr std::size_t mostInMessage = 64;
+// Limits in one message, so that it fits into a datagram. One instance hardly ever owns the limits
+// of more targets.
+constexpr std::size_t maxStatesPerMessage = 64;
 
 } // namespace
 
 TargetLimits::TargetLimits(const Clock &time, std::string ownName, std::size_t expected,
-                           std::uint64_t seed, LimitTransport &others, TargetLimitOptions given)
+                           std::uint64_t seed, LimitTransport &peerTransport,
+                           TargetLimitOptions tuning)
     : clock(time)
-    , spread(others)
-    , options(given)
+    , transport(peerTransport)
+    , options(tuning)
     , random(seed)
     , self(ownName)
     , expectedOthers(expected)
-    , settlesFrom(time.now())
-    , lastSeen(time.now())
-    , toldAt(time.now())
+    , settlingSince(time.now())
+    , lastActiveAt(time.now())
+    , announcedAt(time.now())
     , limits(time)
     , fleet(time)
     , ranking(std::move(ownName))
 {
 }
 
-// ---- Who keeps the account of a target ----
+// Ownership of limits
 
 void TargetLimits::setInstances(std::span<const std::string> others)
 {
-    std::vector<std::string> newcomers;
-    std::copy_if(others.begin(), others.end(), std::back_inserter(newcomers),
+    std::vector<std::string> newInstances;
+    std::copy_if(others.begin(), others.end(), std::back_inserter(newInstances),
                  [this](const std::string &name) { return !this->fleet.isUp(name); });
     this->fleet.setInstances(others);
-    this->rankSettled();
-    if (newcomers.empty() || !this->isSettled())
+    this->updateRanking();
+    if (newInstances.empty() || !this->isSettled())
         return;
-    const LimitMessage kept = this->wordsKept();
-    for (const std::string &name : newcomers) {
-        if (!kept.isEmpty())
-            this->spread.sendLimits(name, kept);
+    const LimitMessage owned = this->ownedLimits();
+    for (const std::string &name : newInstances) {
+        if (!owned.isEmpty())
+            this->transport.sendLimits(name, owned);
     }
 }
 
-void TargetLimits::noteHeldUp()
+void TargetLimits::detectStall()
 {
     const TimePoint now = this->clock.now();
-    if (now - this->lastSeen >= this->options.heldUp) {
-        this->settlesFrom = now;
-        this->rankedAgainAt = now;
+    if (now - this->lastActiveAt >= this->options.stallThreshold) {
+        this->settlingSince = now;
+        this->nextRankingAt = now;
     }
-    this->lastSeen = now;
+    this->lastActiveAt = now;
 }
 
 bool TargetLimits::isSettled() const
 {
-    return this->clock.now() - this->settlesFrom >= this->options.settleTime;
+    return this->clock.now() - this->settlingSince >= this->options.settleTime;
 }
 
-// An instance that others have met only lately is left aside by all of them, since it is left
-// aside by itself: it does not know them all yet. Those that this one met while it was new itself
-// may be as old as the fleet. One that has just gone keeps its place for a while, in which others
-// may still ask it.
-void TargetLimits::rankSettled()
+// Ranks the instances that may own limits. An instance that the others discovered less than
+// settleTime ago is excluded by all of them, as it excludes itself, because it does not know all of
+// them yet. Instances that this one discovered while it was settling itself may be as old as the
+// fleet and are included. An instance that has just disappeared keeps its rank for a while, because
+// others may still send permit requests to it.
+void TargetLimits::updateRanking()
 {
     const TimePoint now = this->clock.now();
-    const TimePoint alike = this->settlesFrom + this->options.settleTime;
+    const TimePoint settledAt = this->settlingSince + this->options.settleTime;
     std::vector<std::string> names;
-    this->rankedAgainAt = TimePoint::max();
+    this->nextRankingAt = TimePoint::max();
     for (const auto &[name, instance] : this->fleet.instances()) {
         const TimePoint since = instance.upSince;
-        const TimePoint from = since <= alike ? since : since + this->options.settleTime;
+        const TimePoint from = since <= settledAt ? since : since + this->options.settleTime;
         const TimePoint until = this->fleet.missedFrom(instance);
         if (from <= now && now < until)
             names.push_back(name);
         if (now < until)
-            this->rankedAgainAt = std::min(this->rankedAgainAt, from > now ? from : until);
+            this->nextRankingAt = std::min(this->nextRankingAt, from > now ? from : until);
     }
     this->ranking.setOthers(names);
 }
 
-// The instance to ask: the first in the target's order that keeps accounts and answers.
-std::optional<std::string> TargetLimits::keeperOf(std::string_view target)
+// Returns the first instance in the target's ranking that is settled and answers.
+std::optional<std::string> TargetLimits::ownerOf(std::string_view target)
 {
     const TimePoint now = this->clock.now();
-    if (now >= this->rankedAgainAt)
-        this->rankSettled();
+    if (now >= this->nextRankingAt)
+        this->updateRanking();
     const std::size_t gone = this->fleet.instances().size() - this->fleet.countUp();
-    // Beyond those that are gone or passed over, and this one, there is one more.
-    const std::size_t most = this->peers.size() + gone + 2;
-    for (std::string &name : this->ranking.first(target, most)) {
+    // One candidate more than the instances that have disappeared or are skipped, and this one.
+    const std::size_t candidates = this->peers.size() + gone + 2;
+    for (std::string &name : this->ranking.first(target, candidates)) {
         const auto peer = this->peers.find(name);
-        const bool passedOver = peer != this->peers.end() && peer->second.passedOverUntil > now;
-        const bool ready = name == this->self ? this->isSettled() : this->fleet.isUp(name);
-        if (!passedOver && ready)
+        const bool isSkipped = peer != this->peers.end() && peer->second.skippedUntil > now;
+        const bool isReady = name == this->self ? this->isSettled() : this->fleet.isUp(name);
+        if (!isSkipped && isReady)
             return std::move(name);
     }
     return std::nullopt;
 }
 
-std::size_t TargetLimits::placeAt(std::string_view target)
+std::size_t TargetLimits::rankOf(std::string_view target)
 {
-    if (this->clock.now() >= this->rankedAgainAt)
-        this->rankSettled();
+    if (this->clock.now() >= this->nextRankingAt)
+        this->updateRanking();
     return this->ranking.ownPlace(target);
 }
 
-// The part of a target's limit that falls to those of the fleet that are up. The larger side of a
-// split fleet grants the whole and the others their parts: together less than half too much.
-double TargetLimits::fleetPart() const
+// Returns the share of a target's limit for the instances that are up. In a partitioned fleet, the
+// majority side grants the whole limit and the other sides grant their shares, together less than
+// half the limit in addition.
+double TargetLimits::fleetShare() const
 {
     const std::size_t up = this->fleet.countUp() + 1;
     const std::size_t known = std::max(this->fleet.instances().size(), this->expectedOthers) + 1;
@@ -126,56 +131,57 @@
     return static_cast<double>(up) / static_cast<double>(known);
 }
 
-// ---- What an account grants ----
+// Permits
 
-LimitAccount::Rate TargetLimits::rateOf(std::string_view target, double perSecond)
+PermitBucket::Rate TargetLimits::rateOf(std::string_view target, double perSecond)
 {
-    const auto place = static_cast<double>(this->placeAt(target));
-    const double part = this->fleetPart() * std::pow(this->options.nextKeeperPart, place);
-    LimitAccount::Rate rate;
-    rate.perSecond = std::max(this->options.leastPerSecond, perSecond * part);
-    if (part == 1)
-        rate.saved = this->options.savedPermits + perSecond * this->options.savedSeconds;
+    const auto rank = static_cast<double>(this->rankOf(target));
+    const double share = this->fleetShare() * std::pow(this->options.nextOwnerShare, rank);
+    PermitBucket::Rate rate;
+    rate.perSecond = std::max(this->options.minPerSecond, perSecond * share);
+    if (share == 1)
+        rate.capacity = this->options.burstPermits + perSecond * this->options.burstSeconds;
     return rate;
 }
 
-LimitAccount &TargetLimits::accountOf(std::string_view target)
+PermitBucket &TargetLimits::bucketOf(std::string_view target)
 {
-    return this->accounts.try_emplace(std::string(target), this->clock.now()).first->second;
+    return this->buckets.try_emplace(std::string(target), this->clock.now()).first->second;
 }
 
-Permit TargetLimits::decide(std::string_view asker, std::string_view target, double perSecond)
+Permit TargetLimits::decide(std::string_view requester, std::string_view target, double perSecond)
 {
     const TimePoint now = this->clock.now();
-    const LimitAccount::Rate rate = this->rateOf(target, perSecond);
-    LimitAccount &account = this->accountOf(target);
-    const std::size_t askers = account.noteAsker(now, asker);
-    if (account.take(now, rate))
+    const PermitBucket::Rate rate = this->rateOf(target, perSecond);
+    PermitBucket &bucket = this->bucketOf(target);
+    const std::size_t requesters = bucket.recordRequester(now, requester);
+    if (bucket.tryTake(now, rate))
         return {true, Duration(0), this->self};
-    return {false, this->restFor(account, rate, askers), this->self};
+    return {false, this->backoffFor(bucket, rate, requesters), this->self};
 }
 
-// Instances that were refused ask again at moments drawn apart, later the more of them there are.
-Duration TargetLimits::restFor(const LimitAccount &account, const LimitAccount::Rate &rate,
-                               std::size_t askers)
+// Returns the back-off of an instance whose request was denied. It includes a random delay whose
+// mean grows with the number of requesters, so that their retries are spread out.
+Duration TargetLimits::backoffFor(const PermitBucket &bucket, const PermitBucket::Rate &rate,
+                                  std::size_t requesters)
 {
-    const double others = static_cast<double>(askers) - 1;
-    const double mean = others / (this->options.asksPerPermit * rate.perSecond);
-    const double most = std::chrono::duration<double>(this->options.longestRest).count();
-    std::uniform_real_distribution<double> drawn(0, std::min(2 * mean, most));
-    const std::chrono::duration<double> apart(drawn(this->random));
-    const Duration rest = account.untilNext(this->clock.now(), rate) +
-                          std::chrono::duration_cast<Duration>(apart);
-    return std::clamp(rest, this->options.shortestRest, this->options.longestRest);
+    const double others = static_cast<double>(requesters) - 1;
+    const double mean = others / (this->options.requestsPerPermit * rate.perSecond);
+    const double maxDelay = std::chrono::duration<double>(this->options.maxBackoff).count();
+    std::uniform_real_distribution<double> jitter(0, std::min(2 * mean, maxDelay));
+    const std::chrono::duration<double> delay(jitter(this->random));
+    const Duration backoff = bucket.timeToNextPermit(this->clock.now(), rate) +
+                             std::chrono::duration_cast<Duration>(delay);
+    return std::clamp(backoff, this->options.minBackoff, this->options.maxBackoff);
 }
 
-// ---- What targets say ----
+// Limits advertised by targets
 
 bool TargetLimits::recordLimit(std::string_view target, double perSecond)
 {
     if (!this->limits.recordLimit(target, perSecond))
         return false;
-    this->spread.broadcastLimits({{*this->limits.wordOf(target)}, {}, {}});
+    this->transport.broadcastLimits({{*this->limits.stateOf(target)}, {}, {}});
     return true;
 }
 
@@ -183,7 +189,7 @@
 {
     if (!this->limits.recordNoLimit(target, sentAgo))
         return false;
-    this->spread.broadcastLimits({{*this->limits.wordOf(target)}, {}, {}});
+    this->transport.broadcastLimits({{*this->limits.stateOf(target)}, {}, {}});
     return true;
 }
 
@@ -191,52 +197,53 @@
 {
     const std::string name(target);
     this->limits.forget(target);
-    this->accounts.erase(name);
-    this->restsUntil.erase(name);
+    this->buckets.erase(name);
+    this->backoffUntil.erase(name);
 }
 
-// ---- Asking ----
+// Permit requests
 
 Duration TargetLimits::remainingBackoff(std::string_view target) const
 {
-    const auto found = this->restsUntil.find(target);
-    if (found == this->restsUntil.end() || !this->limits.find(target))
+    const auto found = this->backoffUntil.find(target);
+    if (found == this->backoffUntil.end() || !this->limits.find(target))
         return Duration(0);
     return std::max(Duration(0), found->second - this->clock.now());
 }
 
-std::optional<Permit> TargetLimits::request(std::string_view target, const Decided &later)
+std::optional<Permit> TargetLimits::request(std::string_view target, const PermitCallback &callback)
 {
-    this->noteHeldUp();
-    const Duration resting = this->remainingBackoff(target);
-    if (resting > Duration(0))
-        return Permit{false, resting, {}};
-    return this->ask(std::string(target), later, 1);
+    this->detectStall();
+    const Duration backoff = this->remainingBackoff(target);
+    if (backoff > Duration(0))
+        return Permit{false, backoff, {}};
+    return this->requestFromOwner(std::string(target), callback, 1);
 }
 
-std::optional<Permit> TargetLimits::ask(const std::string &target, const Decided &later, int asked)
+std::optional<Permit> TargetLimits::requestFromOwner(const std::string &target,
+                                                     const PermitCallback &callback, int attempts)
 {
     const std::optional<double> perSecond = this->limits.find(target);
     if (!perSecond)
         return Permit{true, Duration(0), {}};
-    const std::optional<std::string> keeper = this->keeperOf(target);
-    if (!keeper)
-        return this->concluded(target, {false, this->options.lookAgain, {}});
-    if (*keeper == this->self)
-        return this->concluded(target, this->decide(this->self, target, *perSecond));
+    const std::optional<std::string> owner = this->ownerOf(target);
+    if (!owner)
+        return this->recordDecision(target, {false, this->options.noOwnerBackoff, {}});
+    if (*owner == this->self)
+        return this->recordDecision(target, this->decide(this->self, target, *perSecond));
     const std::int64_t serial = this->nextSerial++;
-    const TimePoint deadline = this->clock.now() + this->options.answerBound;
-    this->open.emplace(serial, Open{target, *keeper, later, deadline, asked});
-    this->spread.sendLimits(*keeper, {{}, {{serial, *this->limits.wordOf(target), false}}, {}});
+    const TimePoint deadline = this->clock.now() + this->options.answerTimeout;
+    this->pending.emplace(serial, PendingRequest{target, *owner, callback, deadline, attempts});
+    this->transport.sendLimits(*owner, {{}, {{serial, *this->limits.stateOf(target), false}}, {}});
     return std::nullopt;
 }
 
-Permit TargetLimits::concluded(const std::string &target, const Permit &permit)
+Permit TargetLimits::recordDecision(const std::string &target, const Permit &permit)
 {
     if (permit.granted)
         return permit;
-    const Duration rest = std::max(permit.wait, this->options.shortestRest);
-    this->restsUntil.insert_or_assign(target, this->clock.now() + rest);
+    const Duration backoff = std::max(permit.wait, this->options.minBackoff);
+    this->backoffUntil.insert_or_assign(target, this->clock.now() + backoff);
     return permit;
 }
 
@@ -245,159 +252,161 @@
     const std::optional<double> perSecond = this->limits.find(target);
     if (!perSecond)
         return;
-    const std::optional<std::string> keeper = this->keeperOf(target);
-    if (!keeper)
+    const std::optional<std::string> owner = this->ownerOf(target);
+    if (!owner)
         return;
-    if (*keeper == this->self)
-        return this->accountOf(target).spend(this->clock.now(), this->rateOf(target, *perSecond));
-    this->spread.sendLimits(*keeper, {{}, {{0, *this->limits.wordOf(target), true}}, {}});
+    if (*owner == this->self)
+        return this->bucketOf(target).charge(this->clock.now(), this->rateOf(target, *perSecond));
+    this->transport.sendLimits(*owner, {{}, {{0, *this->limits.stateOf(target), true}}, {}});
 }
 
-void TargetLimits::passOver(const std::string &keeper)
+void TargetLimits::skipOwner(const std::string &owner)
 {
-    Peer &peer = this->peers[keeper];
+    Peer &peer = this->peers[owner];
     peer.misses = 0;
-    peer.passedOverUntil = this->clock.now() + this->options.passedOverFor;
+    peer.skippedUntil = this->clock.now() + this->options.skipTime;
 }
 
-// ---- What other instances say ----
+// Messages of other instances
 
-bool TargetLimits::takeWord(const NamedLimits::Word &word)
+bool TargetLimits::applyState(const AdvertisedLimits::State &state)
 {
-    if (word.target.empty())
+    if (state.target.empty())
         return false;
-    const bool wasLimited = this->limits.find(word.target).has_value();
-    const bool news = this->limits.recordLimit(word.target, word.perSecond, word.namedAgo);
-    if (word.endedAgo)
-        this->limits.recordNoLimit(word.target, *word.endedAgo);
-    const bool isLimited = this->limits.find(word.target).has_value();
-    return wasLimited != isLimited || (isLimited && news);
+    const bool wasLimited = this->limits.find(state.target).has_value();
+    const bool limitChanged =
+            this->limits.recordLimit(state.target, state.perSecond, state.namedAgo);
+    if (state.endedAgo)
+        this->limits.recordNoLimit(state.target, *state.endedAgo);
+    const bool isLimited = this->limits.find(state.target).has_value();
+    return wasLimited != isLimited || (isLimited && limitChanged);
 }
 
-std::vector<std::string> TargetLimits::onMessage(std::string_view from, const LimitMessage &news)
+std::vector<std::string> TargetLimits::onMessage(std::string_view from, const LimitMessage &message)
 {
-    this->noteHeldUp();
+    this->detectStall();
     std::vector<std::string> changed;
-    for (const NamedLimits::Word &word : news.words) {
-        if (this->takeWord(word))
-            changed.push_back(word.target);
+    for (const AdvertisedLimits::State &state : message.states) {
+        if (this->applyState(state))
+            changed.push_back(state.target);
     }
-    for (const PermitAsk &asked : news.asks)
-        this->answerAsk(from, asked);
-    for (const PermitAnswer &answer : news.answers)
-        this->onAnswer(from, answer);
+    for (const PermitRequest &permitRequest : message.requests)
+        this->onPermitRequest(from, permitRequest);
+    for (const PermitAnswer &answer : message.answers)
+        this->onPermitAnswer(from, answer);
     return changed;
 }
 
-void TargetLimits::answerAsk(std::string_view from, const PermitAsk &asked)
+void TargetLimits::onPermitRequest(std::string_view from, const PermitRequest &permitRequest)
 {
-    const std::string &target = asked.word.target;
-    this->takeWord(asked.word);
+    const std::string &target = permitRequest.state.target;
+    this->applyState(permitRequest.state);
     const std::optional<double> perSecond = this->limits.find(target);
-    if (asked.counted) {
+    if (permitRequest.counted) {
         if (perSecond)
-            this->accountOf(target).spend(this->clock.now(), this->rateOf(target, *perSecond));
+            this->bucketOf(target).charge(this->clock.now(), this->rateOf(target, *perSecond));
         return;
     }
     PermitAnswer answer;
-    answer.serial = asked.serial;
-    answer.keeps = this->isSettled();
-    if (answer.keeps) {
+    answer.serial = permitRequest.serial;
+    answer.isOwnerReady = this->isSettled();
+    if (answer.isOwnerReady) {
         const Permit permit = perSecond ? this->decide(from, target, *perSecond)
                                         : Permit{true, Duration(0), this->self};
         answer.granted = permit.granted;
         answer.wait = permit.wait;
     }
-    answer.word = this->limits.wordOf(target).value_or(asked.word);
-    this->spread.sendLimits(from, {{}, {}, {std::move(answer)}});
+    answer.state = this->limits.stateOf(target).value_or(permitRequest.state);
+    this->transport.sendLimits(from, {{}, {}, {std::move(answer)}});
 }
 
-void TargetLimits::onAnswer(std::string_view from, const PermitAnswer &answer)
+void TargetLimits::onPermitAnswer(std::string_view from, const PermitAnswer &answer)
 {
-    const auto found = this->open.find(answer.serial);
-    if (found == this->open.end() || found->second.keeper != from)
+    const auto found = this->pending.find(answer.serial);
+    if (found == this->pending.end() || found->second.owner != from)
         return;
-    const Open question = std::move(found->second);
-    this->open.erase(found);
-    this->takeWord(answer.word);
-    this->peers.erase(question.keeper);
-    if (answer.keeps) {
-        const Permit permit{answer.granted, answer.wait, question.keeper};
-        return question.later(this->concluded(question.target, permit));
+    const PendingRequest pendingRequest = std::move(found->second);
+    this->pending.erase(found);
+    this->applyState(answer.state);
+    this->peers.erase(pendingRequest.owner);
+    if (answer.isOwnerReady) {
+        const Permit permit{answer.granted, answer.wait, pendingRequest.owner};
+        return pendingRequest.callback(this->recordDecision(pendingRequest.target, permit));
     }
-    this->passOver(question.keeper);
-    this->onNoAnswer(question);
+    this->skipOwner(pendingRequest.owner);
+    this->onMissingAnswer(pendingRequest);
 }
 
-void TargetLimits::onNoAnswer(const Open &question)
+void TargetLimits::onMissingAnswer(const PendingRequest &pendingRequest)
 {
-    const auto peer = this->peers.find(question.keeper);
-    const bool passedOver =
-            peer != this->peers.end() && peer->second.passedOverUntil > this->clock.now();
-    std::optional<Permit> permit = Permit{false, this->options.answerBound, question.keeper};
-    if (passedOver && question.asked < mostAsked)
-        permit = this->ask(question.target, question.later, question.asked + 1);
+    const auto peer = this->peers.find(pendingRequest.owner);
+    const bool isSkipped =
+            peer != this->peers.end() && peer->second.skippedUntil > this->clock.now();
+    std::optional<Permit> permit = Permit{false, this->options.answerTimeout, pendingRequest.owner};
+    if (isSkipped && pendingRequest.attempts < maxOwnerAttempts)
+        permit = this->requestFromOwner(pendingRequest.target, pendingRequest.callback,
+                                        pendingRequest.attempts + 1);
     if (permit)
-        question.later(this->concluded(question.target, *permit));
+        pendingRequest.callback(this->recordDecision(pendingRequest.target, *permit));
 }
 
-// ---- What falls due ----
+// Periodic work
 
-std::optional<TimePoint> TargetLimits::nextStep() const
+std::optional<TimePoint> TargetLimits::nextDeadline() const
 {
-    if (this->open.empty())
+    if (this->pending.empty())
         return std::nullopt;
-    return this->open.begin()->second.deadline;
+    return this->pending.begin()->second.deadline;
 }
 
-void TargetLimits::expire()
+void TargetLimits::expirePending()
 {
     const TimePoint now = this->clock.now();
-    while (!this->open.empty() && this->open.begin()->second.deadline <= now) {
-        const Open question = std::move(this->open.begin()->second);
-        this->open.erase(this->open.begin());
-        if (++this->peers[question.keeper].misses >= this->options.missesToPassOver)
-            this->passOver(question.keeper);
-        this->onNoAnswer(question);
+    while (!this->pending.empty() && this->pending.begin()->second.deadline <= now) {
+        const PendingRequest pendingRequest = std::move(this->pending.begin()->second);
+        this->pending.erase(this->pending.begin());
+        if (++this->peers[pendingRequest.owner].misses >= this->options.missesToSkip)
+            this->skipOwner(pendingRequest.owner);
+        this->onMissingAnswer(pendingRequest);
     }
 }
 
-void TargetLimits::dropIdle()
+void TargetLimits::removeIdle()
 {
     const TimePoint now = this->clock.now();
-    std::erase_if(this->restsUntil, [now](const auto &entry) { return entry.second <= now; });
-    std::erase_if(this->accounts,
+    std::erase_if(this->backoffUntil, [now](const auto &entry) { return entry.second <= now; });
+    std::erase_if(this->buckets,
                   [this](const auto &entry) { return !this->limits.find(entry.first); });
     std::erase_if(this->peers, [now, this](const auto &entry) {
-        return !this->fleet.isUp(entry.first) && entry.second.passedOverUntil <= now;
+        return !this->fleet.isUp(entry.first) && entry.second.skippedUntil <= now;
     });
 }
 
-// The limits whose accounts this instance keeps, for others that start or missed a notice.
-LimitMessage TargetLimits::wordsKept()
+// Returns the limits that this instance owns, for instances that start or missed a message.
+LimitMessage TargetLimits::ownedLimits()
 {
-    LimitMessage news;
+    LimitMessage message;
     for (const std::string &target : this->limits.limited()) {
-        if (news.words.size() < mostInMessage && this->placeAt(target) == 0)
-            news.words.push_back(*this->limits.wordOf(target));
+        if (message.states.size() < maxStatesPerMessage && this->rankOf(target) == 0)
+            message.states.push_back(*this->limits.stateOf(target));
     }
-    return news;
+    return message;
 }
 
 void TargetLimits::tick()
 {
-    this->noteHeldUp();
-    this->expire();
+    this->detectStall();
+    this->expirePending();
     const TimePoint now = this->clock.now();
-    if (now - this->toldAt < this->options.tellGap)
+    if (now - this->announcedAt < this->options.announceInterval)
         return;
-    this->toldAt = now;
-    this->dropIdle();
+    this->announcedAt = now;
+    this->removeIdle();
     if (!this->isSettled())
         return;
-    const LimitMessage kept = this->wordsKept();
-    if (!kept.isEmpty())
-        this->spread.sendLimitsToSample(kept);
+    const LimitMessage owned = this->ownedLimits();
+    if (!owned.isEmpty())
+        this->transport.sendLimitsToSample(owned);
 }
 
 } // namespace jaytrack
--- a/lib/Quarantine/crashquarantine.cpp
+++ b/lib/Quarantine/crashquarantine.cpp
@@ -4,16 +4,16 @@
 
 namespace jaytrack {
 
-CrashQuarantine::End &CrashQuarantine::endOf(std::string_view target, TimePoint endedAt)
+CrashQuarantine::End &CrashQuarantine::findOrAddEnd(std::string_view target, TimePoint endedAt)
 {
     const auto found = std::find_if(this->ends.rbegin(), this->ends.rend(), [&](const End &end) {
         const Duration between =
                 end.endedAt > endedAt ? end.endedAt - endedAt : endedAt - end.endedAt;
-        return end.target == target && between < this->options.sameEnd;
+        return end.target == target && between < this->options.sameEndWindow;
     });
     if (found != this->ends.rend())
         return *found;
-    if (this->ends.size() >= this->options.mostEnds)
+    if (this->ends.size() >= this->options.maxEnds)
         this->ends.pop_front();
     const auto place =
             std::upper_bound(this->ends.begin(), this->ends.end(), endedAt,
@@ -21,17 +21,17 @@
     return *this->ends.insert(place, {std::string(target), endedAt, {}, false});
 }
 
-void CrashQuarantine::targetEnded(const TargetEnd &told)
+void CrashQuarantine::recordEnd(const TargetEnd &report)
 {
-    if (told.suspects.empty())
+    if (report.suspects.empty())
         return;
-    End &end = this->endOf(told.target, this->clock.now() - told.ago);
-    for (const Suspect &suspect : told.suspects) {
+    End &end = this->findOrAddEnd(report.target, this->clock.now() - report.ago);
+    for (const Suspect &suspect : report.suspects) {
         end.explained = end.explained || this->isBarred(suspect.digest);
-        if (end.suspects.size() < this->options.mostSuspects)
-            end.suspects.emplace(suspect.digest, end.endedAt - suspect.held);
+        if (end.suspects.size() < this->options.maxSuspects)
+            end.suspects.emplace(suspect.digest, end.endedAt - suspect.timeAtTarget);
     }
-    this->weighAt = std::min(this->weighAt, end.endedAt + this->options.settleTime);
+    this->evaluateAt = std::min(this->evaluateAt, end.endedAt + this->options.settleTime);
 }
 
 bool CrashQuarantine::recordSafeRun(std::string_view digest)
@@ -47,24 +47,24 @@
     return suspected;
 }
 
-void CrashQuarantine::dropOld()
+void CrashQuarantine::removeExpired()
 {
     const TimePoint now = this->clock.now();
-    while (!this->ends.empty() && now - this->ends.front().endedAt > this->options.evidenceLife)
+    while (!this->ends.empty() && now - this->ends.front().endedAt > this->options.evidenceLifetime)
         this->ends.pop_front();
     std::erase_if(this->bars, [&](const auto &entry) {
         return now > entry.second.until + this->options.probation;
     });
 }
 
-// Weighing looks at all suspects of all ends, some ten thousand at the most, so it is done once for
-// each end and not at each tick.
-void CrashQuarantine::planWeighing()
+// An evaluation goes through all suspects of all ends, about ten thousand at most, so it runs once
+// for each end and not at each tick.
+void CrashQuarantine::scheduleEvaluation()
 {
-    this->weighAt = TimePoint::max();
+    this->evaluateAt = TimePoint::max();
     for (const End &end : this->ends) {
         if (!this->isSettled(end))
-            this->weighAt = std::min(this->weighAt, end.endedAt + this->options.settleTime);
+            this->evaluateAt = std::min(this->evaluateAt, end.endedAt + this->options.settleTime);
     }
 }
 
@@ -73,7 +73,7 @@
     return this->clock.now() - end.endedAt >= this->options.settleTime;
 }
 
-// Of the ends that have no explanation yet, by the requests that stood at them.
+// Collects the evidence against each request from the settled ends that no barred request explains.
 CrashQuarantine::EvidenceByDigest CrashQuarantine::collectEvidence() const
 {
     EvidenceByDigest all;
@@ -82,64 +82,66 @@
             continue;
         for (const auto &[digest, sentAt] : end.suspects) {
             Evidence &evidence = all[digest];
-            const bool sentOn = sentAt + this->options.noticeJitter >= evidence.lastEnd;
-            const bool together = evidence.ends > 0 && !sentOn &&
-                                  end.endedAt - evidence.lastEnd < this->options.apart;
-            if (together)
+            const bool sentAfterLastEnd = sentAt + this->options.noticeJitter >= evidence.lastEnd;
+            const bool hasCommonCause =
+                    evidence.ends > 0 && !sentAfterLastEnd &&
+                    end.endedAt - evidence.lastEnd < this->options.commonCauseWindow;
+            if (hasCommonCause)
                 continue;
             ++evidence.ends;
             evidence.lastEnd = end.endedAt;
-            evidence.stoodAlone = evidence.stoodAlone || end.suspects.size() == 1;
+            evidence.wasOnlySuspect = evidence.wasOnlySuspect || end.suspects.size() == 1;
         }
     }
     return all;
 }
 
-bool CrashQuarantine::isEnough(std::string_view digest, const Evidence &evidence) const
+bool CrashQuarantine::isSufficient(std::string_view digest, const Evidence &evidence) const
 {
     const bool wasBarred = this->bars.find(digest) != this->bars.end();
     if (wasBarred)
         return true;
-    return evidence.ends >=
-           (evidence.stoodAlone ? this->options.endsToBar : this->options.endsToBarInDoubt);
+    return evidence.ends >= (evidence.wasOnlySuspect ? this->options.endsToBar
+                                                     : this->options.endsToBarIfNeverAlone);
 }
 
-// The request under which most targets have ended, if it is enough of them; empty for none.
-std::string_view CrashQuarantine::mostSuspect(const EvidenceByDigest &all) const
+// Returns the request with the most ends if they are sufficient to bar it, or an empty string.
+std::string_view CrashQuarantine::primarySuspect(const EvidenceByDigest &all) const
 {
     std::string_view found;
-    std::size_t most = 0;
+    std::size_t highestCount = 0;
     for (const auto &[digest, evidence] : all) {
-        if (evidence.ends <= most || !this->isEnough(digest, evidence))
+        if (evidence.ends <= highestCount || !this->isSufficient(digest, evidence))
             continue;
         found = digest;
-        most = evidence.ends;
+        highestCount = evidence.ends;
     }
     return found;
 }
 
-// Whoever stood beside a barred request at an end is not suspected for it any more.
-void CrashQuarantine::explain(std::string_view digest)
+// Marks the ends of a barred request as explained, so that they no longer count against other
+// requests.
+void CrashQuarantine::markExplained(std::string_view digest)
 {
     for (End &end : this->ends)
         end.explained = end.explained || end.suspects.count(digest) > 0;
 }
 
-std::vector<BarredRequest> CrashQuarantine::weigh()
+std::vector<BarredRequest> CrashQuarantine::evaluate()
 {
-    this->dropOld();
-    std::vector<BarredRequest> fresh;
-    if (this->clock.now() < this->weighAt)
-        return fresh;
-    this->planWeighing();
+    this->removeExpired();
+    std::vector<BarredRequest> newlyBarred;
+    if (this->clock.now() < this->evaluateAt)
+        return newlyBarred;
+    this->scheduleEvaluation();
     while (true) {
         const EvidenceByDigest all = this->collectEvidence();
-        const std::string digest(this->mostSuspect(all));
+        const std::string digest(this->primarySuspect(all));
         if (digest.empty())
-            return fresh;
-        BarredRequest request{digest, this->options.barTime, all.at(digest).ends};
+            return newlyBarred;
+        BarredRequest request{digest, this->options.barDuration, all.at(digest).ends};
         this->bar(request);
-        fresh.push_back(std::move(request));
+        newlyBarred.push_back(std::move(request));
     }
 }
 
@@ -147,16 +149,16 @@
 {
     if (this->isBarred(request.digest))
         return false;
-    if (this->bars.size() >= this->options.mostBars) {
-        const auto first = std::min_element(this->bars.begin(), this->bars.end(),
-                                            [](const auto &left, const auto &right) {
-                                                return left.second.until < right.second.until;
-                                            });
-        this->bars.erase(first);
+    if (this->bars.size() >= this->options.maxBars) {
+        const auto earliest = std::min_element(this->bars.begin(), this->bars.end(),
+                                               [](const auto &left, const auto &right) {
+                                                   return left.second.until < right.second.until;
+                                               });
+        this->bars.erase(earliest);
     }
-    const Duration left = std::min(request.left, this->options.barTime);
-    this->bars[request.digest] = Bar{this->clock.now() + left, request.ends};
-    this->explain(request.digest);
+    const Duration remaining = std::min(request.remaining, this->options.barDuration);
+    this->bars[request.digest] = Bar{this->clock.now() + remaining, request.ends};
+    this->markExplained(request.digest);
     return true;
 }
 
@@ -175,13 +177,13 @@
 
 std::vector<BarredRequest> CrashQuarantine::barred() const
 {
-    std::vector<BarredRequest> list;
+    std::vector<BarredRequest> requests;
     for (const auto &[digest, entry] : this->bars) {
-        const Duration left = this->barredFor(digest);
-        if (left > Duration(0))
-            list.push_back({digest, left, entry.ends});
+        const Duration remaining = this->barredFor(digest);
+        if (remaining > Duration(0))
+            requests.push_back({digest, remaining, entry.ends});
     }
-    return list;
+    return requests;
 }
 
 } // namespace jaytrack
--- a/lib/Quarantine/crashwatch.cpp
+++ b/lib/Quarantine/crashwatch.cpp
@@ -14,33 +14,33 @@
 
 namespace {
 
-// Between the first lost connection and the question whether anybody listens there: an ending
-// process closes its connections and its listener in any order, and all of this instance's
-// connections to it are lost meanwhile.
-constexpr std::chrono::milliseconds gatherTime{50};
+// Delay between the first lost connection and the check whether the target still listens. A
+// terminating process closes its connections and its listener in any order, and all of this
+// instance's connections to it are lost during this time.
+constexpr std::chrono::milliseconds checkDelay{50};
 
-constexpr std::chrono::milliseconds checkBound{400};
+constexpr std::chrono::milliseconds checkTimeout{400};
 
-// Datagrams may be lost, so what tells of an end goes out twice, within the time that the
-// quarantine waits for it.
-constexpr std::chrono::milliseconds repeatAfter{150};
+// Datagrams may be lost, so the report of an end is sent twice, within the quarantine's settling
+// time.
+constexpr std::chrono::milliseconds repeatDelay{150};
 
-// How often some instances are told of all that is barred, so that one that starts, or was cut off,
-// knows within a few of these.
-constexpr std::chrono::milliseconds barredGap{1000};
+// Interval at which all barred requests are sent to a sample of the instances. An instance that
+// starts, or was disconnected, receives them within a few intervals.
+constexpr std::chrono::milliseconds barredInterval{1000};
 
-// Digests in one message: 3 KB, which a datagram carries.
-constexpr std::size_t mostInMessage = 64;
+// Maximum number of digests in one message: 3 KB, which fits into a datagram.
+constexpr std::size_t maxDigestsPerMessage = 64;
 
 } // namespace
 
 CrashWatch::CrashWatch(asio::io_context &loop, const Clock &time, Metrics &counters,
-                       QuarantineTransport &others, CrashWatchListener &told)
+                       QuarantineTransport &peerTransport, CrashWatchListener &barListener)
     : context(loop)
     , clock(time)
     , metrics(counters)
-    , spread(others)
-    , listener(told)
+    , transport(peerTransport)
+    , listener(barListener)
     , quarantine(time)
 {
 }
@@ -50,8 +50,8 @@
     *this->alive = false;
 }
 
-// The loss is dated here: by the time that the loop comes to it, the request may have been sent to
-// the next target, and that it was sent after this one had ended would not show.
+// Takes the time of the loss before posting to the event loop. When the loop runs the handler, the
+// request may already have been sent to the next target, and the order of the two would be lost.
 void CrashWatch::recordUnansweredLoss(std::string_view target, std::string_view address,
                                       std::string_view digest, TimePoint sentAt)
 {
@@ -72,27 +72,27 @@
         return;
     loss->second.address = address;
     loss->second.firstAt = lostAt;
-    const auto timer = std::make_shared<asio::steady_timer>(this->context, gatherTime);
+    const auto timer = std::make_shared<asio::steady_timer>(this->context, checkDelay);
     timer->async_wait([this, kept = this->alive, timer, target](const asio::error_code &failure) {
         if (!failure && *kept)
             this->check(target);
     });
 }
 
-// A target may close one connection and live on; only one that listens no more has ended.
+// A target may close a connection without terminating. It has ended only if it no longer listens.
 void CrashWatch::check(const std::string &target)
 {
     const auto endpoint = parseEndpoint(this->losses[target].address);
     if (!endpoint)
-        return this->conclude(target, false);
-    checkListening(this->context, endpoint.value(), checkBound,
+        return this->onTargetChecked(target, false);
+    checkListening(this->context, endpoint.value(), checkTimeout,
                    [this, kept = this->alive, target](Listening found) {
                        if (*kept)
-                           this->conclude(target, found == Listening::Refused);
+                           this->onTargetChecked(target, found == Listening::Refused);
                    });
 }
 
-void CrashWatch::conclude(const std::string &target, bool ended)
+void CrashWatch::onTargetChecked(const std::string &target, bool ended)
 {
     const auto node = this->losses.extract(target);
     const Loss &loss = node.mapped();
@@ -109,21 +109,21 @@
         end.suspects.push_back({digest, std::max(Duration(0), loss.firstAt - sentAt)});
     {
         const std::lock_guard lock(this->mutex);
-        this->quarantine.targetEnded(end);
+        this->quarantine.recordEnd(end);
     }
-    this->tellEnd(end);
-    this->toRepeat.emplace_back(this->clock.now(), std::move(end));
+    this->broadcastEnd(end);
+    this->pendingRepeats.emplace_back(this->clock.now(), std::move(end));
 }
 
-void CrashWatch::tellEnd(const TargetEnd &end)
+void CrashWatch::broadcastEnd(const TargetEnd &end)
 {
-    for (std::size_t at = 0; at < end.suspects.size(); at += mostInMessage) {
-        const std::size_t count = std::min(mostInMessage, end.suspects.size() - at);
+    for (std::size_t at = 0; at < end.suspects.size(); at += maxDigestsPerMessage) {
+        const std::size_t count = std::min(maxDigestsPerMessage, end.suspects.size() - at);
         const auto first = end.suspects.begin() + static_cast<std::ptrdiff_t>(at);
-        QuarantineMessage news;
-        news.ends.push_back(
+        QuarantineMessage message;
+        message.ends.push_back(
                 {end.target, {first, first + static_cast<std::ptrdiff_t>(count)}, end.ago});
-        this->spread.broadcastQuarantine(news);
+        this->transport.broadcastQuarantine(message);
     }
 }
 
@@ -140,37 +140,38 @@
         if (!*kept)
             return;
         logEvent(Severity::Info, "request_cleared", {{"digest", digest}});
-        QuarantineMessage news;
-        news.ranWell.push_back(digest);
-        this->spread.broadcastQuarantine(news);
+        QuarantineMessage message;
+        message.safeRuns.push_back(digest);
+        this->transport.broadcastQuarantine(message);
     });
 }
 
-void CrashWatch::onMessage(const QuarantineMessage &news)
+void CrashWatch::onMessage(const QuarantineMessage &message)
 {
-    std::vector<BarredRequest> fresh;
+    std::vector<BarredRequest> newlyBarred;
     {
         const std::lock_guard lock(this->mutex);
-        for (const TargetEnd &end : news.ends)
-            this->quarantine.targetEnded(end);
-        for (const std::string &digest : news.ranWell)
+        for (const TargetEnd &end : message.ends)
+            this->quarantine.recordEnd(end);
+        for (const std::string &digest : message.safeRuns)
             this->quarantine.recordSafeRun(digest);
-        for (const BarredRequest &request : news.barred) {
+        for (const BarredRequest &request : message.barred) {
             if (this->quarantine.bar(request))
-                fresh.push_back(request);
+                newlyBarred.push_back(request);
         }
     }
-    this->announce(fresh, "peer");
+    this->reportBarred(newlyBarred, "peer");
 }
 
-void CrashWatch::announce(const std::vector<BarredRequest> &fresh, std::string_view source)
+void CrashWatch::reportBarred(const std::vector<BarredRequest> &newlyBarred,
+                              std::string_view source)
 {
-    for (const BarredRequest &request : fresh) {
+    for (const BarredRequest &request : newlyBarred) {
         logEvent(Severity::Warning, "request_barred",
                  {{"digest", request.digest},
                   {"source", source},
                   {"targets_ended", static_cast<std::int64_t>(request.ends)},
-                  {"for_ms", toMillis(request.left)}});
+                  {"for_ms", toMillis(request.remaining)}});
         this->metrics.count("jaytrack_requests_barred_total");
         this->listener.onRequestBarred(request.digest);
     }
@@ -178,50 +179,51 @@
 
 void CrashWatch::tick()
 {
-    std::vector<BarredRequest> fresh;
+    std::vector<BarredRequest> newlyBarred;
     {
         const std::lock_guard lock(this->mutex);
-        fresh = this->quarantine.weigh();
+        newlyBarred = this->quarantine.evaluate();
     }
-    this->announce(fresh, "own");
-    if (!fresh.empty()) {
-        QuarantineMessage news;
-        news.barred = fresh;
-        this->spread.broadcastQuarantine(news);
+    this->reportBarred(newlyBarred, "own");
+    if (!newlyBarred.empty()) {
+        QuarantineMessage message;
+        message.barred = newlyBarred;
+        this->transport.broadcastQuarantine(message);
     }
     this->repeatEnds();
-    if (this->clock.now() - this->barredToldAt >= barredGap)
-        this->tellBarred();
+    if (this->clock.now() - this->barredSentAt >= barredInterval)
+        this->sendBarred();
 }
 
 void CrashWatch::repeatEnds()
 {
     const TimePoint now = this->clock.now();
-    while (!this->toRepeat.empty() && now - this->toRepeat.front().first >= repeatAfter) {
-        auto [toldAt, end] = std::move(this->toRepeat.front());
-        this->toRepeat.pop_front();
-        end.ago += now - toldAt;
-        this->tellEnd(end);
+    while (!this->pendingRepeats.empty() &&
+           now - this->pendingRepeats.front().first >= repeatDelay) {
+        auto [sentAt, end] = std::move(this->pendingRepeats.front());
+        this->pendingRepeats.pop_front();
+        end.ago += now - sentAt;
+        this->broadcastEnd(end);
     }
 }
 
-void CrashWatch::tellBarred()
+void CrashWatch::sendBarred()
 {
-    this->barredToldAt = this->clock.now();
-    QuarantineMessage news;
+    this->barredSentAt = this->clock.now();
+    QuarantineMessage message;
     {
         const std::lock_guard lock(this->mutex);
-        news.barred = this->quarantine.barred();
+        message.barred = this->quarantine.barred();
     }
-    if (news.barred.empty())
+    if (message.barred.empty())
         return;
-    // The newest matter most: what has been barred for long is known everywhere.
-    std::sort(news.barred.begin(), news.barred.end(),
+    // Prefers the most recently barred requests; the other instances already know the older ones.
+    std::sort(message.barred.begin(), message.barred.end(),
               [](const BarredRequest &left, const BarredRequest &right) {
-                  return left.left > right.left;
+                  return left.remaining > right.remaining;
               });
-    news.barred.resize(std::min(news.barred.size(), mostInMessage));
-    this->spread.sendQuarantineToSample(news);
+    message.barred.resize(std::min(message.barred.size(), maxDigestsPerMessage));
+    this->transport.sendQuarantineToSample(message);
 }
 
 bool CrashWatch::isIdle() const
--- a/lib/Quarantine/requestdigest.cpp
+++ b/lib/Quarantine/requestdigest.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-constexpr std::size_t digestDigits = 32;
+constexpr std::size_t digestLength = 32;
 
 } // namespace
 
-// None of the fields before the body can hold a line feed, so no two requests make the same text.
+// The fields before the body cannot contain a line feed, so different requests cannot produce the
+// same text.
 std::string requestDigest(const RequestContent &content)
 {
     std::string text;
@@ -22,7 +23,7 @@
         text += '\n';
     }
     text += content.body;
-    return sha256Hex(text).substr(0, digestDigits);
+    return sha256Hex(text).substr(0, digestLength);
 }
 
 } // namespace jaytrack
--- a/unittests/Limits/advertisedlimitstest.cpp
+++ b/unittests/Limits/advertisedlimitstest.cpp
@@ -1,4 +1,4 @@
-// Which limit of a target holds, however its answers overtake each other.
+// Tests which limit of a target is in force when its answers arrive out of order.
 #include "jaytrack/Limits/advertisedlimits.h"
 
 #include <criterion/criterion.h>
@@ -11,29 +11,38 @@
 
 namespace {
 
-// One thing heard of the target, at a moment of the test.
-struct Heard
+// One answer of the target, received at this time of the test.
+struct Answer
 {
     int atMillis;
-    bool named;
-    int sentAtMillis; // of the request whose answer names none
+    bool hasLimit;
+    int sentAtMillis; // of the request whose answer has no limit
 };
 
 struct OrderCase
 {
     char name[56];
-    std::array<Heard, 4> heard;
+    std::array<Answer, 4> answers;
     std::size_t count;
     bool limited;
 };
 
 OrderCase orderCases[] = {
-        {"named", {{{10, true, 0}}}, 1, true},
-        {"an answer without one", {{{10, false, 5}}}, 1, false},
-        {"named, then an answer to a later request", {{{10, true, 0}, {30, false, 20}}}, 2, false},
-        {"named, then one to a request sent before", {{{10, true, 0}, {30, false, 5}}}, 2, true},
-        {"ended, then named again", {{{10, true, 0}, {30, false, 20}, {40, true, 0}}}, 3, true},
-        {"ended, named, a late answer to the earlier request",
+        {"with limit", {{{10, true, 0}}}, 1, true},
+        {"without limit", {{{10, false, 5}}}, 1, false},
+        {"limit, then none in answer to a later request",
+         {{{10, true, 0}, {30, false, 20}}},
+         2,
+         false},
+        {"limit, then none in answer to an earlier request",
+         {{{10, true, 0}, {30, false, 5}}},
+         2,
+         true},
+        {"ended, then advertised again",
+         {{{10, true, 0}, {30, false, 20}, {40, true, 0}}},
+         3,
+         true},
+        {"ended, advertised, late answer to earlier request",
          {{{10, true, 0}, {30, false, 20}, {40, true, 0}, {50, false, 25}}},
          4,
          true},
@@ -41,35 +50,36 @@
 
 } // namespace
 
-// Guards against an answer that was under way when the limit was named ending it.
-ParameterizedTestParameters(namedLimits, lastWordHolds)
+// Guards against a limit being ended by the answer to a request that was sent before the limit was
+// advertised.
+ParameterizedTestParameters(advertisedLimits, latestAnswerApplies)
 {
     return cr_make_param_array(OrderCase, orderCases, std::size(orderCases));
 }
 
-ParameterizedTest(OrderCase *given, namedLimits, lastWordHolds)
+ParameterizedTest(OrderCase *param, advertisedLimits, latestAnswerApplies)
 {
     ManualClock clock;
-    NamedLimits limits(clock);
-    Duration passed{0};
-    for (std::size_t i = 0; i < given->count; ++i) {
-        const Heard &heard = given->heard[i];
-        clock.advance(std::chrono::milliseconds(heard.atMillis) - passed);
-        passed = std::chrono::milliseconds(heard.atMillis);
-        if (heard.named)
+    AdvertisedLimits limits(clock);
+    Duration elapsed{0};
+    for (std::size_t i = 0; i < param->count; ++i) {
+        const Answer &answer = param->answers[i];
+        clock.advance(std::chrono::milliseconds(answer.atMillis) - elapsed);
+        elapsed = std::chrono::milliseconds(answer.atMillis);
+        if (answer.hasLimit)
             limits.recordLimit("t", 2.5);
         else
             limits.recordNoLimit("t",
-                                 std::chrono::milliseconds(heard.atMillis - heard.sentAtMillis));
+                                 std::chrono::milliseconds(answer.atMillis - answer.sentAtMillis));
     }
-    cr_expect_eq(limits.find("t").has_value(), given->limited, "%s", given->name);
+    cr_expect_eq(limits.find("t").has_value(), param->limited, "%s", param->name);
 }
 
-// Guards against telling the whole fleet of each answer.
-Test(namedLimits, onlyChangesAreNews)
+// Guards against notifying the whole fleet of each answer.
+Test(advertisedLimits, reportsOnlyChanges)
 {
     ManualClock clock;
-    NamedLimits limits(clock);
+    AdvertisedLimits limits(clock);
     cr_expect(limits.recordLimit("t", 2.5));
     clock.advance(10ms);
     cr_expect_not(limits.recordLimit("t", 2.5));
@@ -82,11 +92,11 @@
     cr_expect(limits.recordLimit("t", 4));
 }
 
-// Guards against an old notice of another instance replacing what a target has said since.
-Test(namedLimits, olderWordsChangeNothing)
+// Guards against an outdated message of another instance replacing a later answer of the target.
+Test(advertisedLimits, ignoresOlderRecords)
 {
     ManualClock clock;
-    NamedLimits limits(clock);
+    AdvertisedLimits limits(clock);
     clock.advance(1s);
     limits.recordLimit("t", 2.5);
     cr_expect_not(limits.recordLimit("t", 9, 500ms));
@@ -95,16 +105,16 @@
     limits.recordNoLimit("t", 100ms);
     cr_expect_not(limits.recordLimit("t", 9, 200ms));
     cr_expect_not(limits.find("t").has_value());
-    const auto word = limits.wordOf("t");
-    cr_assert(word);
-    cr_expect_not(word->isLimited());
+    const auto state = limits.stateOf("t");
+    cr_assert(state);
+    cr_expect_not(state->isLimited());
 }
 
-// Guards against a limit that outlives the target that named it.
-Test(namedLimits, endsWithItsTarget)
+// Guards against a limit that is kept after the target that advertised it has terminated.
+Test(advertisedLimits, isRemovedWithItsTarget)
 {
     ManualClock clock;
-    NamedLimits limits(clock);
+    AdvertisedLimits limits(clock);
     limits.recordLimit("t", 2.5);
     limits.recordLimit("u", 1);
     limits.forget("t");
@@ -114,5 +124,5 @@
     limits.recordNoLimit("u", 1ms);
     clock.advance(2min);
     limits.recordLimit("v", 1);
-    cr_expect_not(limits.wordOf("u").has_value());
+    cr_expect_not(limits.stateOf("u").has_value());
 }
--- a/unittests/Limits/limitfleet.h
+++ b/unittests/Limits/limitfleet.h
@@ -1,5 +1,5 @@
-// A fleet of simulated instances that all want one target, with messages between them that take
-// time, are lost, and find nobody.
+// Simulates a fleet of instances that all use one target. Messages between the instances are
+// delayed, may be lost, and may be addressed to instances that are down.
 #ifndef JAYTRACK_TESTS_LIMITFLEET_H
 #define JAYTRACK_TESTS_LIMITFLEET_H
 
@@ -13,85 +13,87 @@
 
 namespace jaytrack::testing {
 
-enum class LimitTrouble {
+enum class LimitFault {
     None,
-    Split,         // in two halves that do not reach each other
-    AllAlone,      // no instance reaches another
-    RollingStarts, // one instance after the other starts anew
-    CommonStart,   // all start anew at once, and meet within two seconds
-    Kills,         // instances end without a word and come back
-    Freezes,       // instances stand still for seconds and go on
-    LateViews,     // each instance sees another part of the fleet
-    Lossy          // messages are lost and late
+    Split,               // two halves that cannot reach each other
+    Isolated,            // no instance can reach another
+    RollingRestart,      // the instances restart one after the other
+    SimultaneousRestart, // all restart at once and discover each other within two seconds
+    Kills,               // instances are killed without notice and restart
+    Stalls,              // instances stall for seconds and resume
+    PartialViews,        // each instance knows a different part of the fleet
+    Lossy                // messages are lost or delayed
 };
 
 struct LimitFleetPlan
 {
     std::size_t instances = 7;
     double limit = 2.5;
-    double wanted = 200; // requests a second, over all instances
-    LimitTrouble trouble = LimitTrouble::None;
+    double requestsPerSecond = 200; // over all instances
+    LimitFault fault = LimitFault::None;
 };
 
 class LimitFleet
 {
 public:
-    explicit LimitFleet(const LimitFleetPlan &given);
+    explicit LimitFleet(const LimitFleetPlan &fleetPlan);
     ~LimitFleet();
     LimitFleet(const LimitFleet &) = delete;
     LimitFleet &operator=(const LimitFleet &) = delete;
 
-    // Plays the day: the target names its limit, and the trouble comes two seconds later.
-    void play();
+    // Runs the simulation: the target advertises its limit, and the fault starts two seconds later.
+    void run();
 
-    // The most requests in 4 s of instances that had heard of the limit.
-    std::size_t worstWindow() const;
+    // Returns the maximum number of requests within 4 s that were sent by instances that knew the
+    // limit.
+    std::size_t maxRequestsInWindow() const;
 
-    // The most that the target may get in 4 s.
-    double mostAllowed() const;
+    // Returns the maximum number of requests that the target may receive within 4 s.
+    double allowedInWindow() const;
 
-    // Requests a second, as a part of the limit.
-    double usedPart() const;
+    // Returns the achieved request rate as a fraction of the limit.
+    double usedShare() const;
 
-    // Requests of instances that had not heard of the limit, and how often one started.
-    std::size_t unaware() const { return this->unawareSends; }
+    // The number of requests from instances that did not know the limit, and the number of instance
+    // starts.
+    std::size_t unawareRequests() const { return this->unawareCount; }
     std::size_t starts() const { return this->startCount; }
 
-    // The most messages that one instance sent in a second.
-    std::size_t worstMessages() const;
+    // Returns the maximum number of messages that one instance sent within a second.
+    std::size_t maxMessagesPerSecond() const;
 
 private:
     class Node;
 
-    struct Message
+    struct InFlightMessage
     {
         TimePoint due;
         std::size_t from;
         std::size_t to;
-        LimitMessage news;
+        LimitMessage content;
     };
 
     void start(std::size_t index);
     void step();
     void deliver();
-    void wantSome();
-    void stir(int atStep);
-    void stirEach(int atStep);
-    void meetAll();
-    void meetSome(double part);
+    void generateRequests();
+    void injectFault(int atStep);
+    void injectFaultPerInstance(int atStep);
+    void updateAllViews();
+    void updateViews(double part);
     bool reaches(std::size_t from, std::size_t to) const;
-    void post(std::size_t from, const std::string &to, const LimitMessage &news);
-    void sent(std::size_t index);
+    void post(std::size_t from, const std::string &to, const LimitMessage &content);
+    void onRequestSent(std::size_t index);
 
     LimitFleetPlan plan;
     ManualClock clock;
     std::mt19937_64 random{11};
     std::vector<std::unique_ptr<Node>> nodes;
-    std::vector<int> parts;       // instances of different parts do not reach each other
-    std::deque<Message> messages; // in the order of their moments
+    std::vector<int> partitions; // instances of different partitions cannot reach each other
+    std::deque<InFlightMessage> messages; // ordered by due time
     std::vector<TimePoint> sends;
-    TimePoint namedAt;
-    std::size_t unawareSends = 0;
+    TimePoint advertisedAt;
+    std::size_t unawareCount = 0;
     std::size_t startCount = 0;
 };
 
--- a/unittests/Limits/targetlimitstest.cpp
+++ b/unittests/Limits/targetlimitstest.cpp
@@ -1,4 +1,5 @@
-// What one instance decides and tells of targets with limits, beside the sum of a fleet.
+// Tests the decisions and messages of a single instance; limitsumtest.cpp tests the sum over a
+// fleet.
 #include "jaytrack/Limits/targetlimits.h"
 
 #include <criterion/criterion.h>
@@ -10,40 +11,41 @@
 
 namespace {
 
-class Told final : public LimitTransport
+class RecordingTransport final : public LimitTransport
 {
 public:
-    void sendLimits(std::string_view instance, const LimitMessage &news) override
+    void sendLimits(std::string_view instance, const LimitMessage &message) override
     {
-        this->messages.emplace_back(instance, news);
+        this->messages.emplace_back(instance, message);
     }
-    void broadcastLimits(const LimitMessage &news) override
+    void broadcastLimits(const LimitMessage &message) override
     {
-        this->messages.emplace_back("all", news);
+        this->messages.emplace_back("all", message);
     }
-    void sendLimitsToSample(const LimitMessage &news) override
+    void sendLimitsToSample(const LimitMessage &message) override
     {
-        this->messages.emplace_back("some", news);
+        this->messages.emplace_back("some", message);
     }
 
     std::vector<std::pair<std::string, LimitMessage>> messages;
 };
 
-// An instance that has known one other for a while, and a target that names a limit.
-struct Settled
+// An instance that has known another one for longer than the settling time, and a target with a
+// limit.
+struct SettledInstance
 {
-    explicit Settled(std::vector<std::string> known = {"other"}, double limit = 2)
+    explicit SettledInstance(std::vector<std::string> known = {"other"}, double limit = 2)
         : others(std::move(known))
     {
         this->limits.setInstances(this->others);
-        this->pass(10s);
+        this->advance(10s);
         this->limits.recordLimit("t", limit);
     }
 
-    // The loop ticks while time passes, as in a process that is not held up.
-    void pass(Duration time)
+    // Calls tick() while time advances, as in a process that does not stall.
+    void advance(Duration time)
     {
-        for (Duration passed{0}; passed < time; passed += 100ms) {
+        for (Duration elapsed{0}; elapsed < time; elapsed += 100ms) {
             this->clock.advance(100ms);
             this->limits.tick();
         }
@@ -51,105 +53,107 @@
 
     std::optional<Permit> request()
     {
-        return this->limits.request("t", [this](const Permit &permit) { this->later = permit; });
+        return this->limits.request("t", [this](const Permit &permit) { this->decision = permit; });
     }
 
     std::vector<std::string> others;
     ManualClock clock;
-    Told told;
-    TargetLimits limits{this->clock, "own", this->others.size(), 1, this->told};
-    std::optional<Permit> later;
+    RecordingTransport transport;
+    TargetLimits limits{this->clock, "own", this->others.size(), 1, this->transport};
+    std::optional<Permit> decision;
 };
 
-// One without others keeps every account.
-struct Alone : Settled
+// An instance without others owns every limit.
+struct SingleInstance : SettledInstance
 {
-    explicit Alone(double limit = 2)
-        : Settled({}, limit)
+    explicit SingleInstance(double limit = 2)
+        : SettledInstance({}, limit)
     {
     }
 };
 
 } // namespace
 
-// Guards against an instance that joins and sends what it likes until its first answer.
-Test(targetLimits, newcomerIsToldAtOnce)
+// Guards against an instance that joins and sends requests without limit until its first answer.
+Test(targetLimits, newInstanceIsNotifiedImmediately)
 {
-    Settled own;
-    // Whichever of the two keeps the account tells: try targets until one falls to this instance.
+    SettledInstance own;
+    // Only the owner sends the limit to the new instance, so try targets until this instance owns
+    // one.
     for (int i = 0; i < 16; ++i)
         own.limits.recordLimit("t" + std::to_string(i), 2);
-    own.told.messages.clear();
+    own.transport.messages.clear();
     own.limits.setInstances(std::vector<std::string>{"newcomer", "other"});
-    cr_assert_eq(own.told.messages.size(), 1);
-    cr_expect_eq(own.told.messages.front().first, std::string("newcomer"));
-    cr_expect_gt(own.told.messages.front().second.words.size(), 0);
+    cr_assert_eq(own.transport.messages.size(), 1);
+    cr_expect_eq(own.transport.messages.front().first, std::string("newcomer"));
+    cr_expect_gt(own.transport.messages.front().second.states.size(), 0);
 }
 
-// Guards against a target that rests for ever, and one that is used while it rests.
-Test(targetLimits, grantsAtTheRateNamed)
+// Guards against a back-off that never ends, and against requests during the back-off.
+Test(targetLimits, grantsAtAdvertisedRate)
 {
-    Alone own;
-    cr_expect_not(own.request()->granted, "an account opens empty");
+    SingleInstance own;
+    cr_expect_not(own.request()->granted, "a new bucket has to be empty");
     const Duration wait = own.limits.remainingBackoff("t");
     cr_expect_gt(wait, 0ms);
     cr_expect_leq(wait, 500ms);
-    cr_expect_not(own.request()->granted, "it rests");
-    own.pass(500ms);
+    cr_expect_not(own.request()->granted, "no permit may be granted during the back-off");
+    own.advance(500ms);
     cr_expect(own.request()->granted);
     cr_expect_not(own.request()->granted);
-    own.pass(30s);
+    own.advance(30s);
     int granted = 0;
     while (own.request()->granted)
         ++granted;
-    cr_expect_eq(granted, 2, "no more are saved: %d", granted);
+    cr_expect_eq(granted, 2, "the bucket has to store two permits, but granted %d", granted);
 }
 
-// Guards against never hearing that a target that named next to nothing has recovered.
-Test(targetLimits, nextToNothingStillGetsARequest)
+// Guards against never detecting that a target with a limit near zero has recovered.
+Test(targetLimits, limitNearZeroStillAllowsRequests)
 {
-    Alone own(0);
-    own.pass(4s);
+    SingleInstance own(0);
+    own.advance(4s);
     own.request();
-    own.pass(4s);
+    own.advance(4s);
     cr_expect(own.request()->granted);
 }
 
-// Guards against a question that is never answered holding its request.
-Test(targetLimits, unansweredQuestionIsDeniedInTime)
+// Guards against a permit request that is never answered blocking its request.
+Test(targetLimits, unansweredPermitRequestIsDeniedOnTimeout)
 {
-    Settled own;
-    std::optional<Permit> now;
-    std::string asked;
-    for (int i = 0; i < 16 && !asked.size(); ++i) {
+    SettledInstance own;
+    std::optional<Permit> immediate;
+    std::string requested;
+    for (int i = 0; i < 16 && !requested.size(); ++i) {
         const std::string target = "t" + std::to_string(i);
         own.limits.recordLimit(target, 2);
-        now = own.limits.request(target, [&own](const Permit &permit) { own.later = permit; });
-        if (!now)
-            asked = target;
+        immediate =
+                own.limits.request(target, [&own](const Permit &permit) { own.decision = permit; });
+        if (!immediate)
+            requested = target;
     }
-    cr_assert(!asked.empty(), "the other one keeps some account");
-    cr_assert_not(own.later.has_value());
-    cr_assert(own.limits.nextStep() == own.clock.now() + 50ms);
+    cr_assert(!requested.empty(), "the other instance has to own the limit of some target");
+    cr_assert_not(own.decision.has_value());
+    cr_assert(own.limits.nextDeadline() == own.clock.now() + 50ms);
     own.clock.advance(50ms);
     own.limits.tick();
-    cr_assert(own.later.has_value());
-    cr_expect_not(own.later->granted);
-    cr_expect_gt(own.limits.remainingBackoff(asked), 0ms);
-    cr_expect_not(own.limits.nextStep().has_value());
+    cr_assert(own.decision.has_value());
+    cr_expect_not(own.decision->granted);
+    cr_expect_gt(own.limits.remainingBackoff(requested), 0ms);
+    cr_expect_not(own.limits.nextDeadline().has_value());
 }
 
-// Guards against an instance that was held up granting on what it knew before.
-Test(targetLimits, heldUpInstanceKeepsNoAccount)
+// Guards against an instance granting permits by outdated state after its process stalled.
+Test(targetLimits, stalledInstanceGrantsNoPermits)
 {
-    Alone own;
-    own.request(); // opens the account
-    own.pass(2s);
+    SingleInstance own;
+    own.request(); // creates the bucket
+    own.advance(2s);
     cr_assert(own.request()->granted);
     own.clock.advance(2s);
     const auto permit = own.request();
     cr_expect_not(permit->granted);
     cr_expect_eq(permit->owner, std::string());
-    own.pass(3100ms);
+    own.advance(3100ms);
     cr_expect(own.request()->granted);
 }
--- a/unittests/Quarantine/crashquarantinetest.cpp
+++ b/unittests/Quarantine/crashquarantinetest.cpp
@@ -1,4 +1,4 @@
-// Which request is held to be the cause when targets end, and which merely stood beside it.
+// Tests which request is identified as the cause when targets end, and which were only present.
 #include "jaytrack/Quarantine/crashquarantine.h"
 #include "jaytrack/Quarantine/quarantinemessage.h"
 
@@ -17,31 +17,31 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds longHeld{500};
+constexpr std::chrono::milliseconds defaultTimeAtTarget{500};
 
-struct Happening
+struct Event
 {
     int atMs;
-    char target[8];    // that ended; empty if a request ran well
-    char requests[16]; // blank between them
-    int heldMs = 500;  // how long they had been at the target
+    char target[8];           // that ended; empty if a target ran the request safely
+    char requests[16];        // separated by blanks
+    int timeAtTargetMs = 500; // time between sending and the end
 };
 
 struct VerdictCase
 {
     char name[64];
-    Happening happenings[8];
+    Event events[8];
     int count;
     char barred[16];
 };
 
-std::vector<std::string> wordsOf(const std::string &text)
+std::vector<std::string> splitWords(const std::string &text)
 {
     std::istringstream stream(text);
     return {std::istream_iterator<std::string>(stream), std::istream_iterator<std::string>()};
 }
 
-std::string barredIn(const CrashQuarantine &quarantine)
+std::string barredDigests(const CrashQuarantine &quarantine)
 {
     std::string text;
     for (const BarredRequest &request : quarantine.barred())
@@ -49,35 +49,38 @@
     return text;
 }
 
-TargetEnd endOf(const std::string &target, const std::string &requests,
-                std::chrono::milliseconds held = longHeld)
+TargetEnd makeEnd(const std::string &target, const std::string &requests,
+                  std::chrono::milliseconds timeAtTarget = defaultTimeAtTarget)
 {
     TargetEnd end{target, {}, Duration(0)};
-    for (const std::string &word : wordsOf(requests))
-        end.suspects.push_back({word, held});
+    for (const std::string &word : splitWords(requests))
+        end.suspects.push_back({word, timeAtTarget});
     return end;
 }
 
 } // namespace
 
-// A request is kept from all targets though it ended none, or is sent on though it ended three:
-// each row is what the instances could see, and the one conclusion that it allows.
-ParameterizedTestParameters(crashQuarantine, barsWhatEndsTargets)
+// Guards against barring a request that crashed no target, and against retrying one that crashed
+// three. Each row lists what the instances observed and the verdict that follows.
+ParameterizedTestParameters(crashQuarantine, barsCrashingRequests)
 {
     static VerdictCase cases[] = {
             {"three ends alone", {{0, "a", "p"}, {800, "b", "p"}, {1600, "c", "p"}}, 3, "p"},
             {"two ends", {{0, "a", "p"}, {800, "b", "p"}}, 2, ""},
-            {"one end, told three times", {{0, "a", "p"}, {50, "a", "p"}, {100, "a", "p"}}, 3, ""},
+            {"one end, reported three times",
+             {{0, "a", "p"}, {50, "a", "p"}, {100, "a", "p"}},
+             3,
+             ""},
             {"one name, three lives", {{0, "a", "p"}, {4000, "a", "p"}, {8000, "a", "p"}}, 3, "p"},
-            {"beside it at two ends",
+            {"present at two of three ends",
              {{0, "a", "p q"}, {800, "b", "p q"}, {1600, "c", "p"}},
              3,
              "p"},
-            {"beside it at three ends",
+            {"present at three of four ends",
              {{0, "a", "p q"}, {800, "b", "p q"}, {1600, "c", "p q"}, {2400, "d", "p"}},
              4,
              "p"},
-            {"never apart, three ends",
+            {"always together, three ends",
              {{0, "a", "p q"}, {800, "b", "p q"}, {1600, "c", "p q"}},
              3,
              ""},
@@ -89,7 +92,7 @@
               {3200, "e", "p u"}},
              5,
              "p"},
-            {"beside two deadly ones in turn",
+            {"present with two crashing ones in turn",
              {{0, "a", "p i"},
               {100, "b", "q i"},
               {200, "c", "p i"},
@@ -102,15 +105,15 @@
              {{0, "a", "p"}, {20, "b", "p"}, {40, "c", "p"}, {60, "d", "p"}},
              4,
              ""},
-            {"sent on at once after each end",
+            {"retried at once after each end",
              {{0, "a", "p"}, {40, "b", "p", 30}, {80, "c", "p", 30}},
              3,
              "p"},
-            {"sent on at once, told unevenly",
+            {"retried at once, uneven report delays",
              {{0, "a", "p"}, {40, "b", "p", 45}, {80, "c", "p", 45}},
              3,
              "p"},
-            {"ran well in between",
+            {"safe run in between",
              {{0, "a", "p"}, {800, "b", "p"}, {1000, "", "p"}, {1600, "c", "p"}},
              4,
              ""},
@@ -119,66 +122,66 @@
     return cr_make_param_array(VerdictCase, cases, std::size(cases));
 }
 
-ParameterizedTest(VerdictCase *param, crashQuarantine, barsWhatEndsTargets)
+ParameterizedTest(VerdictCase *param, crashQuarantine, barsCrashingRequests)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     CrashQuarantine quarantine(clock);
     int now = 0;
     for (int i = 0; i < param->count; ++i) {
-        const Happening &happening = param->happenings[i];
-        clock.advance(std::chrono::milliseconds(happening.atMs - now));
-        now = happening.atMs;
-        quarantine.weigh();
-        if (happening.target[0] == '\0')
-            quarantine.recordSafeRun(happening.requests);
+        const Event &event = param->events[i];
+        clock.advance(std::chrono::milliseconds(event.atMs - now));
+        now = event.atMs;
+        quarantine.evaluate();
+        if (event.target[0] == '\0')
+            quarantine.recordSafeRun(event.requests);
         else
-            quarantine.targetEnded(endOf(happening.target, happening.requests,
-                                         std::chrono::milliseconds(happening.heldMs)));
+            quarantine.recordEnd(makeEnd(event.target, event.requests,
+                                         std::chrono::milliseconds(event.timeAtTargetMs)));
     }
     clock.advance(CrashQuarantineOptions().settleTime);
-    quarantine.weigh();
-    cr_assert_eq(barredIn(quarantine), std::string(param->barred), "%s: [%s]", param->name,
-                 barredIn(quarantine).c_str());
+    quarantine.evaluate();
+    cr_assert_eq(barredDigests(quarantine), std::string(param->barred), "%s: [%s]", param->name,
+                 barredDigests(quarantine).c_str());
 }
 
-// What merely waited beside the deadly request is refused, because the instance that serves it
-// tells of the third end some milliseconds before the one that serves the deadly request does.
-Test(crashQuarantine, waitsForWhatOthersTell)
+// Guards against barring a request that only waited at the same targets, because its instance
+// reports the third end some milliseconds before the instance with the crashing request does.
+Test(crashQuarantine, waitsForReportsOfOthers)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     CrashQuarantine quarantine(clock);
     for (const char *target : {"a", "b", "c"}) {
-        quarantine.targetEnded(endOf(target, "innocent"));
-        quarantine.weigh();
+        quarantine.recordEnd(makeEnd(target, "innocent"));
+        quarantine.evaluate();
         clock.advance(std::chrono::milliseconds(5));
-        quarantine.targetEnded(endOf(target, "deadly"));
+        quarantine.recordEnd(makeEnd(target, "crashing"));
         clock.advance(std::chrono::milliseconds(500));
     }
-    quarantine.weigh();
+    quarantine.evaluate();
     cr_assert(!quarantine.isBarred("innocent"));
 }
 
-// A request is refused for ever though the targets were mended, or may end three targets again each
-// time that its term is over.
-Test(crashQuarantine, termEndsAndOneEndBarsAgain)
+// Guards against barring a request forever although the targets were fixed, and against letting it
+// crash three targets again each time the bar expires.
+Test(crashQuarantine, barExpiresAndOneEndRenewsIt)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     const CrashQuarantineOptions options;
     CrashQuarantine quarantine(clock, options);
-    cr_assert(quarantine.bar({"p", options.barTime, 3}));
-    cr_assert(!quarantine.bar({"p", options.barTime, 3}), "known already");
-    clock.advance(options.barTime);
+    cr_assert(quarantine.bar({"p", options.barDuration, 3}));
+    cr_assert(!quarantine.bar({"p", options.barDuration, 3}), "the request is barred already");
+    clock.advance(options.barDuration);
     cr_assert(!quarantine.isBarred("p"));
-    quarantine.targetEnded(endOf("d", "p q"));
+    quarantine.recordEnd(makeEnd("d", "p q"));
     clock.advance(options.settleTime);
-    quarantine.weigh();
-    cr_assert_eq(barredIn(quarantine), std::string("p"));
+    quarantine.evaluate();
+    cr_assert_eq(barredDigests(quarantine), std::string("p"));
 }
 
-// Memory grows with a caller that sends ever new deadly requests.
+// Guards against memory that grows with a caller that keeps sending new crashing requests.
 Test(crashQuarantine, isBounded)
 {
     ManualClock clock;
@@ -186,28 +189,31 @@
     CrashQuarantine quarantine(clock);
     for (int i = 0; i < 2000; ++i) {
         quarantine.bar({"p" + std::to_string(i), std::chrono::minutes(1), 3});
-        quarantine.targetEnded(endOf("t" + std::to_string(i), "q" + std::to_string(i)));
+        quarantine.recordEnd(makeEnd("t" + std::to_string(i), "q" + std::to_string(i)));
         clock.advance(std::chrono::milliseconds(1));
     }
-    cr_assert_leq(quarantine.barred().size(), CrashQuarantineOptions().mostBars);
+    cr_assert_leq(quarantine.barred().size(), CrashQuarantineOptions().maxBars);
     cr_assert(quarantine.isBarred("p1999"));
 }
 
-// What is told reaches the other side as it was; times that nobody can mean are cut.
-Test(quarantineNews, survivesTheWire)
+// Tests that messages survive conversion to and from the wire format, and that invalid times are
+// clamped.
+Test(quarantineMessage, roundTripsThroughWireFormat)
 {
-    QuarantineMessage news;
-    news.ends.push_back({"t@5", {{"d1", std::chrono::milliseconds(70)}}, std::chrono::seconds(2)});
-    news.barred.push_back({"d2", std::chrono::minutes(30), 4});
-    news.ranWell.emplace_back("d3");
-    const QuarantineMessage back = fromNotices(toNotices(news));
+    QuarantineMessage message;
+    message.ends.push_back(
+            {"t@5", {{"d1", std::chrono::milliseconds(70)}}, std::chrono::seconds(2)});
+    message.barred.push_back({"d2", std::chrono::minutes(30), 4});
+    message.safeRuns.emplace_back("d3");
+    const QuarantineMessage back = fromNotices(toNotices(message));
     cr_assert_eq(back.ends.at(0).target, std::string("t@5"));
     cr_assert_eq(back.ends.at(0).ago, Duration(std::chrono::seconds(2)));
     cr_assert_eq(back.ends.at(0).suspects.at(0).digest, std::string("d1"));
-    cr_assert_eq(back.ends.at(0).suspects.at(0).held, Duration(std::chrono::milliseconds(70)));
-    cr_assert_eq(back.barred.at(0).left, Duration(std::chrono::minutes(30)));
+    cr_assert_eq(back.ends.at(0).suspects.at(0).timeAtTarget,
+                 Duration(std::chrono::milliseconds(70)));
+    cr_assert_eq(back.barred.at(0).remaining, Duration(std::chrono::minutes(30)));
     cr_assert_eq(back.barred.at(0).ends, 4);
-    cr_assert_eq(back.ranWell.at(0), std::string("d3"));
+    cr_assert_eq(back.safeRuns.at(0), std::string("d3"));
 
     wire::QuarantineNotices forged;
     wire::BarredNotice bar;
@@ -215,7 +221,7 @@
     bar.ends = -7;
     forged.barred.push_back(bar);
     const QuarantineMessage cut = fromNotices(forged);
-    cr_assert(cut.barred.at(0).left <= std::chrono::hours(24));
+    cr_assert(cut.barred.at(0).remaining <= std::chrono::hours(24));
     cr_assert_eq(cut.barred.at(0).ends, 0);
 }
 
@@ -224,10 +230,10 @@
 struct FleetCase
 {
     std::size_t instances;
-    double lost; // part of the notices
+    double lost; // fraction of the reports
 };
 
-struct LateEnd
+struct DelayedEnd
 {
     TimePoint at;
     TargetEnd end;
@@ -235,15 +241,16 @@
 
 } // namespace
 
-// A deadly request is known to the instance at which it ended targets, and sent on by all others:
-// its caller comes to another instance each time, notices come late, and some are lost.
-ParameterizedTestParameters(crashQuarantine, isKnownEverywhereAtAnySize)
+// Guards against a crashing request being barred only at the instance where it crashed targets,
+// while the others retry it: its caller uses another instance each time, and reports are late or
+// lost.
+ParameterizedTestParameters(crashQuarantine, reachesAllInstancesAtAnyFleetSize)
 {
     static FleetCase cases[] = {{7, 0}, {7, 0.05}, {73, 0.02}, {195, 0.02}, {340, 0.05}};
     return cr_make_param_array(FleetCase, cases, std::size(cases));
 }
 
-ParameterizedTest(FleetCase *param, crashQuarantine, isKnownEverywhereAtAnySize)
+ParameterizedTest(FleetCase *param, crashQuarantine, reachesAllInstancesAtAnyFleetSize)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
@@ -251,35 +258,36 @@
     std::vector<CrashQuarantine> fleet;
     for (std::size_t i = 0; i < param->instances; ++i)
         fleet.emplace_back(clock);
-    std::vector<std::vector<LateEnd>> onTheWay(param->instances);
+    std::vector<std::vector<DelayedEnd>> inTransit(param->instances);
     const auto arrives = [&] {
         return std::uniform_real_distribution<double>(0, 1)(random) >= param->lost;
     };
     std::size_t sends = 0;
-    std::size_t sendsAfterThird = 0;
+    std::size_t lateSends = 0;
     TimePoint nextSend = clock.now();
-    std::optional<TimePoint> third;
-    // The caller sends it every 0.4 s to an instance drawn by chance; its target ends 0.1 s later.
+    std::optional<TimePoint> thirdSendAt;
+    // The caller sends the request every 0.4 s to a random instance; its target ends 0.1 s later.
     for (int step = 0; step < 1200; ++step) {
         clock.advance(std::chrono::milliseconds(10));
         const TimePoint now = clock.now();
         for (std::size_t i = 0; i < fleet.size(); ++i) {
-            for (const LateEnd &late : onTheWay[i]) {
-                if (late.at <= now) {
-                    TargetEnd end = late.end;
-                    end.ago = now - (late.at - std::chrono::milliseconds(20));
-                    fleet[i].targetEnded(end);
+            for (const DelayedEnd &delayed : inTransit[i]) {
+                if (delayed.at <= now) {
+                    TargetEnd end = delayed.end;
+                    end.ago = now - (delayed.at - std::chrono::milliseconds(20));
+                    fleet[i].recordEnd(end);
                 }
             }
-            std::erase_if(onTheWay[i], [now](const LateEnd &late) { return late.at <= now; });
-            const auto fresh = fleet[i].weigh();
-            for (const BarredRequest &request : fresh) {
+            std::erase_if(inTransit[i],
+                          [now](const DelayedEnd &delayed) { return delayed.at <= now; });
+            const auto newlyBarred = fleet[i].evaluate();
+            for (const BarredRequest &request : newlyBarred) {
                 for (CrashQuarantine &other : fleet) {
                     if (arrives())
                         other.bar(request);
                 }
             }
-            // Once a second each tells three others what it has barred.
+            // Once per second each instance sends its barred requests to three others.
             if (step % 100 == static_cast<int>(i % 100)) {
                 for (const BarredRequest &request : fleet[i].barred()) {
                     for (int told = 0; told < 3; ++told) {
@@ -296,20 +304,20 @@
         if (fleet[at].isBarred("p"))
             continue;
         ++sends;
-        sendsAfterThird += third && now > *third + std::chrono::seconds(3) ? 1 : 0;
+        lateSends += thirdSendAt && now > *thirdSendAt + std::chrono::seconds(3) ? 1 : 0;
         if (sends == 3)
-            third = now;
+            thirdSendAt = now;
         const TargetEnd end =
-                endOf("t" + std::to_string(sends), "p", std::chrono::milliseconds(90));
+                makeEnd("t" + std::to_string(sends), "p", std::chrono::milliseconds(90));
         for (std::size_t i = 0; i < fleet.size(); ++i) {
             if (i == at || arrives() || arrives())
-                onTheWay[i].push_back({now + std::chrono::milliseconds(20), end});
+                inTransit[i].push_back({now + std::chrono::milliseconds(20), end});
         }
     }
-    cr_assert_eq(sendsAfterThird, 0, "%zu instances: %zu sends", param->instances, sends);
+    cr_assert_eq(lateSends, 0, "%zu instances: %zu sends", param->instances, sends);
     cr_assert_leq(sends, 6);
-    const auto knowing = std::count_if(fleet.begin(), fleet.end(), [](const CrashQuarantine &one) {
+    const auto informed = std::count_if(fleet.begin(), fleet.end(), [](const CrashQuarantine &one) {
         return one.isBarred("p");
     });
-    cr_assert_eq(static_cast<std::size_t>(knowing), fleet.size());
+    cr_assert_eq(static_cast<std::size_t>(informed), fleet.size());
 }
--- a/unittests/Quarantine/crashwatchtest.cpp
+++ b/unittests/Quarantine/crashwatchtest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-class Recorder final : public QuarantineTransport, public CrashWatchListener
+class RecordingListener final : public QuarantineTransport, public CrashWatchListener
 {
 public:
     void broadcastQuarantine(const QuarantineMessage &) override {}
@@ -18,7 +18,7 @@
     std::vector<std::string> barred;
 };
 
-// An address at which nobody listens.
+// Returns an address at which no process listens.
 std::string deadAddress()
 {
     asio::io_context context;
@@ -28,18 +28,18 @@
 
 } // namespace
 
-// Five targets end under a request before it is known, where three are enough. The process was held
-// up, so the first end was noted 30 ms after it had happened, when the request had been sent to the
-// next target for long: the two ends seemed to have one cause and counted once. The log shows
-// targets_ended=3 with five targets named.
-Test(crashWatch, endsAreDatedByTheLossAndNotByTheNoting)
+// Guards against a request crashing five targets before it is barred, where three should be enough.
+// When the process stalled, the first end was recorded 30 ms late, after the request had been sent
+// to the next target. The two ends then appeared to have a common cause and counted once; the log
+// showed targets_ended=3 with five targets named.
+Test(crashWatch, usesTimeOfLossForEnds)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     asio::io_context loop;
     Metrics metrics;
-    Recorder recorder;
-    CrashWatch watch(loop, clock, metrics, recorder, recorder);
+    RecordingListener listener;
+    CrashWatch watch(loop, clock, metrics, listener, listener);
     TimePoint sentAt = clock.now();
     for (const char *target : {"a", "b", "c"}) {
         clock.advance(std::chrono::milliseconds(30));
@@ -50,6 +50,6 @@
     loop.run_for(std::chrono::milliseconds(300));
     clock.advance(verdictDelay);
     watch.tick();
-    cr_assert_eq(recorder.barred.size(), 1);
+    cr_assert_eq(listener.barred.size(), 1);
     cr_assert(watch.isBarred("deadly"));
 }
--- a/unittests/Quarantine/requestdigesttest.cpp
+++ b/unittests/Quarantine/requestdigesttest.cpp
@@ -20,8 +20,9 @@
 
 } // namespace
 
-// What a caller sends again is recognised; what differs in any part of it is another request.
-ParameterizedTestParameters(requestDigest, tellsRequestsApart)
+// Tests that a repeated request has the same digest, and a request that differs in any part has
+// another one.
+ParameterizedTestParameters(requestDigest, distinguishesRequests)
 {
     static DigestCase cases[] = {
             {"the same", "POST", "h", "/a?b=1", "c", "body", true},
@@ -35,7 +36,7 @@
     return cr_make_param_array(DigestCase, cases, std::size(cases));
 }
 
-ParameterizedTest(DigestCase *param, requestDigest, tellsRequestsApart)
+ParameterizedTest(DigestCase *param, requestDigest, distinguishesRequests)
 {
     const std::string first = requestDigest({"POST", "h", "/a?b=1", "c", "body"});
     const std::string other = requestDigest(
