--- a/include/jaytrack/Once/ledger.h
+++ b/include/jaytrack/Once/ledger.h
@@ -36,7 +36,7 @@
 };
 
 // An answer that repeats of a ticketed request receive.
-struct KeptAnswer
+struct StoredAnswer
 {
     ResultCode code = ResultCode::Ok;
     int status = 200;
@@ -56,7 +56,7 @@
 {
     ClaimKind kind = ClaimKind::Refused;
     ResultCode code = ResultCode::Ok;
-    KeptAnswer answer;
+    StoredAnswer answer;
 };
 
 // How much a ledger remembers.
@@ -65,7 +65,7 @@
     std::size_t bytes = 64U << 20U;        // answers, all together
     std::size_t answerBytes = 256U << 10U; // one answer; a larger one is forgotten at once
     std::size_t ticketsPerCustomer = 10'000;
-    Duration keep = std::chrono::minutes(15);
+    Duration retention = std::chrono::minutes(15);
 };
 
 // The tickets of one incarnation of one instance. Not safe for several threads at once.
@@ -80,14 +80,14 @@
     Claim claim(const Ticket &ticket, std::string_view bodyDigest, TimePoint now);
 
     // Records the answer of a ticket that was running.
-    void complete(std::int64_t serial, KeptAnswer answer, TimePoint now);
+    void complete(std::int64_t serial, StoredAnswer answer, TimePoint now);
 
     // Takes back a Run when nothing of it can have reached a target; the ticket may run again.
     void release(std::int64_t serial);
 
-    bool isMine(const Ticket &ticket) const;
+    bool isIssuerOf(const Ticket &ticket) const;
     std::size_t size() const { return this->entries.size(); }
-    std::size_t bytesKept() const { return this->keptBytes; }
+    std::size_t storedBytes() const { return this->keptBytes; }
 
 private:
     enum class State { Issued, Running, Done };
@@ -98,7 +98,7 @@
         std::string customer;
         std::string scope;
         std::string bodyDigest;
-        KeptAnswer answer;
+        StoredAnswer answer;
         TimePoint since;
         std::list<std::int64_t>::iterator inOrder;    // own place in oldestFirst
         std::list<std::int64_t>::iterator inCustomer; // own place in the customer's list
--- a/include/jaytrack/Serve/servicecall.h
+++ b/include/jaytrack/Serve/servicecall.h
@@ -67,10 +67,10 @@
     bool mayRepeat(const CallPointer &call, const FetchedAnswer &answer);
     const ServiceTarget *chooseTarget(const Call &call);
     Duration shortestRest(const Call &call) const;
-    void settle(const CallPointer &call, const KeptAnswer &answer);
+    void settle(const CallPointer &call, const StoredAnswer &answer);
     void refuse(const CallPointer &call, const Ending &ending);
-    void tellWaiters(std::int64_t serial, const KeptAnswer &answer);
-    void answer(const CallPointer &call, const KeptAnswer &answer);
+    void tellWaiters(std::int64_t serial, const StoredAnswer &answer);
+    void answer(const CallPointer &call, const StoredAnswer &answer);
     void end(const CallPointer &call, ResultCode code);
 
     ServeContext &context;
--- a/include/jaytrack/Stream/relay.h
+++ b/include/jaytrack/Stream/relay.h
@@ -21,10 +21,10 @@
 
 // What to do when an attempt ended before its stream did.
 enum class RecoveryStep {
-    Elsewhere, // nothing reached the engine: ask another one
-    Resume,    // attach to the same generation again at the next token
-    Restart,   // nothing was seen by the caller: a new generation may start
-    GiveUp     // end the stream with a code
+    OtherEngine, // nothing reached the engine: ask another one
+    Resume,      // attach to the same generation again at the next token
+    Restart,     // nothing was seen by the caller: a new generation may start
+    GiveUp       // end the stream with a code
 };
 
 // What recovery depends on.
--- a/include/jaytrack/Stream/sse.h
+++ b/include/jaytrack/Stream/sse.h
@@ -31,7 +31,7 @@
     bool feed(std::string_view bytes, const std::function<bool(const SseEvent &)> &onEvent);
 
     // Whether an event has begun but not ended.
-    bool inEvent() const { return !this->pending.empty(); }
+    bool hasPartialEvent() const { return !this->pending.empty(); }
 
 private:
     std::string pending;
--- a/lib/Once/ledger.cpp
+++ b/lib/Once/ledger.cpp
@@ -45,7 +45,7 @@
 {
 }
 
-bool TicketLedger::isMine(const Ticket &ticket) const
+bool TicketLedger::isIssuerOf(const Ticket &ticket) const
 {
     return ticket.issuer == this->self && ticket.incarnation == this->selfIncarnation;
 }
@@ -85,7 +85,7 @@
 
 Claim TicketLedger::claim(const Ticket &ticket, std::string_view bodyDigest, TimePoint now)
 {
-    assert(this->isMine(ticket) && "only the issuer decides about a ticket");
+    assert(this->isIssuerOf(ticket) && "only the issuer decides about a ticket");
     this->expire(now);
     const auto found = this->entries.find(ticket.serial);
     // A forgotten ticket may have run, so it must neither run again nor be called not run.
@@ -111,7 +111,7 @@
     return {ClaimKind::Refused, ResultCode::InvariantBroken, {}};
 }
 
-void TicketLedger::complete(std::int64_t serial, KeptAnswer answer, TimePoint now)
+void TicketLedger::complete(std::int64_t serial, StoredAnswer answer, TimePoint now)
 {
     const auto found = this->entries.find(serial);
     assert(found != this->entries.end() && found->second.state == State::Running &&
@@ -145,7 +145,7 @@
         const Entry &entry = this->entries.at(serial);
         if (entry.state == State::Running)
             continue;
-        if (entry.since + this->limits.keep > now)
+        if (entry.since + this->limits.retention > now)
             return;
         this->forget(serial);
     }
--- a/lib/Proxy/streamexchange.cpp
+++ b/lib/Proxy/streamexchange.cpp
@@ -393,7 +393,7 @@
         return this->nextLost(end.whole ? "refused_by_engine" : end.reason);
     if (this->current.get() != &leg)
         return;
-    if (!end.whole || leg.events.inEvent())
+    if (!end.whole || leg.events.hasPartialEvent())
         return this->currentLost(end.whole ? "event_cut" : end.reason);
     if (!leg.streaming)
         return this->passOnAnswer(leg);
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -555,7 +555,7 @@
             this->model->repeatable && !this->order.resumed && !this->context.cautious();
     attemptLost.recoveries = this->recoveries;
     RecoveryStep step = this->relay.recover(attemptLost);
-    if (step == RecoveryStep::Elsewhere && this->order.resumed)
+    if (step == RecoveryStep::OtherEngine && this->order.resumed)
         step = RecoveryStep::Resume;
     ++this->recoveries;
     this->lastLoss = why;
@@ -567,7 +567,7 @@
         this->phase = Phase::Pausing;
         this->resumeAt = this->context.clock.now() + this->recoveries * resumeBackoff;
         return;
-    case RecoveryStep::Elsewhere:
+    case RecoveryStep::OtherEngine:
     case RecoveryStep::Restart:
         if (sent)
             this->cancelAtEngine();
--- a/lib/Serve/servicecall.cpp
+++ b/lib/Serve/servicecall.cpp
@@ -199,7 +199,7 @@
         this->refuse(call, {ResultCode::MalformedTicket, "", {}});
         return;
     }
-    if (this->ledger.isMine(*ticket))
+    if (this->ledger.isIssuerOf(*ticket))
         this->runMine(call, *ticket);
     else
         this->forward(call, *ticket);
@@ -272,9 +272,9 @@
         this->refuse(call, {ResultCode::IssuerGone, answer.end.error, {}});
         return;
     }
-    const KeptAnswer kept{static_cast<ResultCode>(*code), answer.end.status,
-                          std::string(findHeader(answer.headers, "Content-Type")),
-                          std::move(answer.body)};
+    const StoredAnswer kept{static_cast<ResultCode>(*code), answer.end.status,
+                            std::string(findHeader(answer.headers, "Content-Type")),
+                            std::move(answer.body)};
     this->answer(call, kept);
 }
 
@@ -419,8 +419,9 @@
     if (answer.end.whole && answer.end.status == unavailableStatus && rest)
         this->pauses.leaveAlone(target.name, *rest);
     if (answer.end.whole) {
-        const KeptAnswer kept{ResultCode::Ok, answer.end.status,
-                              std::string(findHeader(answer.headers, "Content-Type")), answer.body};
+        const StoredAnswer kept{ResultCode::Ok, answer.end.status,
+                                std::string(findHeader(answer.headers, "Content-Type")),
+                                answer.body};
         this->settle(call, kept);
         return;
     }
@@ -469,7 +470,7 @@
 }
 
 // The final word on a request that ran, or may have run.
-void ServiceDesk::settle(const CallPointer &call, const KeptAnswer &answer)
+void ServiceDesk::settle(const CallPointer &call, const StoredAnswer &answer)
 {
     if (call->ticketSerial != 0) {
         this->ledger.complete(call->ticketSerial, answer, this->context.clock.now());
@@ -478,7 +479,7 @@
     this->answer(call, answer);
 }
 
-void ServiceDesk::tellWaiters(std::int64_t serial, const KeptAnswer &answer)
+void ServiceDesk::tellWaiters(std::int64_t serial, const StoredAnswer &answer)
 {
     const auto found = this->waiters.find(serial);
     if (found == this->waiters.end())
@@ -489,7 +490,7 @@
         this->answer(call, answer);
 }
 
-void ServiceDesk::answer(const CallPointer &call, const KeptAnswer &answer)
+void ServiceDesk::answer(const CallPointer &call, const StoredAnswer &answer)
 {
     std::vector<HttpHeader> headers = outcomeHeaders(answer.code, call->caller.requestId);
     if (!answer.contentType.empty())
@@ -506,8 +507,8 @@
         ending.code = ResultCode::TargetLost;
     if (call->ticketSerial != 0) {
         const bool notRun = describe(ending.code).outcome == Outcome::NotRun;
-        const KeptAnswer kept{ending.code, describe(ending.code).httpStatus, "application/json",
-                              errorBody(ending, call->caller.requestId)};
+        const StoredAnswer kept{ending.code, describe(ending.code).httpStatus, "application/json",
+                                errorBody(ending, call->caller.requestId)};
         if (notRun)
             this->ledger.release(call->ticketSerial);
         else
@@ -556,7 +557,7 @@
 std::size_t ServiceDesk::ledgerBytes() const
 {
     const std::lock_guard lock(this->mutex);
-    return this->ledger.bytesKept();
+    return this->ledger.storedBytes();
 }
 
 void ServiceDesk::logInService() const
--- a/lib/Stream/relay.cpp
+++ b/lib/Stream/relay.cpp
@@ -30,7 +30,7 @@
     if (lost.recoveries >= maxRecoveries)
         return RecoveryStep::GiveUp;
     if (!lost.maySentBytes && this->generationName.empty())
-        return RecoveryStep::Elsewhere;
+        return RecoveryStep::OtherEngine;
     const bool mayRestart = this->next == 0 && lost.repeatable;
     // The engine may have died with the generation. While nothing of it was seen there is no reason
     // to wait for it any longer than a broken link takes to mend.
--- a/unittests/Once/ledgertest.cpp
+++ b/unittests/Once/ledgertest.cpp
@@ -14,7 +14,7 @@
     bounds.bytes = 4096;
     bounds.answerBytes = 1024;
     bounds.ticketsPerCustomer = 3;
-    bounds.keep = std::chrono::seconds(60);
+    bounds.retention = std::chrono::seconds(60);
     return bounds;
 }
 
@@ -23,7 +23,7 @@
     return TimePoint(std::chrono::seconds(seconds));
 }
 
-KeptAnswer paid()
+StoredAnswer paid()
 {
     return {ResultCode::Ok, 200, "application/json", "paid"};
 }
@@ -103,7 +103,7 @@
     cr_assert(ledger.claim(running, "x", at(0)).kind == ClaimKind::Run);
     for (int i = 0; i < 100; ++i)
         ledger.issue("customer" + std::to_string(i), "POST /pay", at(1));
-    cr_assert(ledger.bytesKept() <= smallBounds().bytes);
+    cr_assert(ledger.storedBytes() <= smallBounds().bytes);
     cr_assert(ledger.claim(running, "x", at(1000)).kind == ClaimKind::Wait);
 }
 
@@ -146,7 +146,7 @@
     const Ticket old = former.issue("weavers", "POST /pay", at(0));
     const Ticket fresh = replacement.issue("weavers", "POST /pay", at(1));
     cr_assert(old.serial == fresh.serial);
-    cr_assert(!replacement.isMine(old));
-    cr_assert(replacement.isMine(fresh));
-    cr_assert(!TicketLedger("b", 2, smallBounds()).isMine(fresh));
+    cr_assert(!replacement.isIssuerOf(old));
+    cr_assert(replacement.isIssuerOf(fresh));
+    cr_assert(!TicketLedger("b", 2, smallBounds()).isIssuerOf(fresh));
 }
--- a/unittests/Soak/callers.cpp
+++ b/unittests/Soak/callers.cpp
@@ -60,7 +60,7 @@
         Node *node = this->fleet.nodeAt(place);
         if (node == nullptr || !node->serves())
             return;
-        if (node->ledger.isMine(this->ticket)) {
+        if (node->ledger.isIssuerOf(this->ticket)) {
             this->atIssuer(*node);
             return;
         }
@@ -303,7 +303,7 @@
         case RecoveryStep::Resume:
             this->attempt(connection);
             return;
-        case RecoveryStep::Elsewhere:
+        case RecoveryStep::OtherEngine:
         case RecoveryStep::Restart:
             this->generation.clear();
             connection->relay = StreamRelay(0);
--- a/unittests/Soak/fleet.cpp
+++ b/unittests/Soak/fleet.cpp
@@ -35,7 +35,7 @@
 LedgerBounds forgetfulLedger()
 {
     LedgerBounds bounds;
-    bounds.keep = std::chrono::seconds(8);
+    bounds.retention = std::chrono::seconds(8);
     return bounds;
 }
 
--- a/unittests/Stream/relaytest.cpp
+++ b/unittests/Stream/relaytest.cpp
@@ -64,8 +64,8 @@
 {
     static RecoveryCase cases[] = {
             // Nothing reached the engine: anybody may run it, also what may run only once.
-            {false, false, false, false, 0, 0, RecoveryStep::Elsewhere},
-            {false, true, false, true, 3, 0, RecoveryStep::Elsewhere},
+            {false, false, false, false, 0, 0, RecoveryStep::OtherEngine},
+            {false, true, false, true, 3, 0, RecoveryStep::OtherEngine},
             // It may be running and may not be repeated.
             {true, false, false, false, 0, 0, RecoveryStep::GiveUp},
             {true, true, false, false, 0, 0, RecoveryStep::GiveUp},
