--- a/include/jaytrack/Limits/targetlimits.h
+++ b/include/jaytrack/Limits/targetlimits.h
@@ -46,9 +46,9 @@
     double burstPermits = 2;
     double burstSeconds = 0.1;
 
-    // An instance grants this fraction of the rate to the power of its rank among the owners of the
-    // target, since part of the fleet may still send requests to the instances that precede it. All
-    // owners together grant at most 1.5 times the limit, which targets tolerate.
+    // An instance grants the rate multiplied by this factor to the power of its rank in the
+    // target's order, since part of the fleet may still send permit requests to the instances that
+    // precede it. All instances together grant at most 1.5 times the limit, which targets tolerate.
     double nextOwnerShare = 1.0 / 3;
 
     // Minimum rate. A target that advertises a limit near zero still gets a request at this rate,
--- a/include/jaytrack/Once/ledger.h
+++ b/include/jaytrack/Once/ledger.h
@@ -1,6 +1,6 @@
-// Tickets: how a non-idempotent request runs at most once although its caller may repeat it at any
-// instance. The instance that issued a ticket is the only one that ever runs it, and it remembers
-// that in plain memory; when it is gone, nobody may run the ticket any more.
+// Tickets let a non-idempotent request run at most once although its caller may repeat it at any
+// instance. Only the instance that issued a ticket ever runs it, and it keeps the state of the
+// ticket in memory. When that instance has terminated, no instance may run the ticket.
 #ifndef JAYTRACK_ONCE_LEDGER_H
 #define JAYTRACK_ONCE_LEDGER_H
 
@@ -20,22 +20,22 @@
 
 class KeyRing;
 
-// What a ticket says, unsealed.
+// The content of a ticket.
 struct Ticket
 {
     std::string issuer;
     std::int64_t incarnation = 0;
     std::int64_t serial = 0;
     std::string customer;
-    std::string scope; // method and path that it is good for
+    std::string scope; // method and path for which it is valid
 
     std::string seal(const KeyRing &keys) const;
 
-    // Nothing if the text was not made by this fleet.
+    // Returns nullopt if the text was not sealed by this fleet.
     static std::optional<Ticket> unseal(const KeyRing &keys, std::string_view text);
 };
 
-// An answer that repeats of a ticketed request receive.
+// The stored answer of a request with a ticket, which is sent to its repetitions.
 struct StoredAnswer
 {
     ResultCode code = ResultCode::Ok;
@@ -44,12 +44,12 @@
     std::string body;
 };
 
-// What to do with a request that carries a ticket.
+// How to handle a request that carries a ticket.
 enum class ClaimKind {
-    Run,      // run it now; the ledger will not say so again for this ticket
-    Wait,     // it is running; its answer will come
-    Answered, // here is its answer
-    Refused   // see the code
+    Run,      // run it now; returned only once for each ticket
+    Wait,     // it is running; wait for its answer
+    Answered, // it has run; the claim contains its answer
+    Refused   // the claim contains the reason as a result code
 };
 
 struct Claim
@@ -59,16 +59,18 @@
     StoredAnswer answer;
 };
 
-// How much a ledger remembers.
+// Limits of a ledger's memory and retention time.
 struct LedgerBounds
 {
-    std::size_t bytes = 64U << 20U;        // answers, all together
-    std::size_t answerBytes = 256U << 10U; // one answer; a larger one is forgotten at once
+    // Maximum memory of all tickets and answers.
+    std::size_t bytes = 64U << 20U;
+    // Maximum size of one answer. The ticket of a larger one is forgotten immediately.
+    std::size_t answerBytes = 256U << 10U;
     std::size_t ticketsPerCustomer = 10'000;
     Duration retention = std::chrono::minutes(15);
 };
 
-// The tickets of one incarnation of one instance. Not safe for several threads at once.
+// Keeps the tickets of one incarnation of one instance. Not thread-safe.
 class TicketLedger
 {
 public:
@@ -76,18 +78,19 @@
 
     Ticket issue(std::string_view customer, std::string_view scope, TimePoint now);
 
-    // Decides about a request under a ticket of this ledger's own incarnation.
+    // Decides how to handle a request with a ticket that was issued by this incarnation.
     Claim claim(const Ticket &ticket, std::string_view bodyDigest, TimePoint now);
 
-    // Records the answer of a ticket that was running.
+    // Stores the answer of a running ticket.
     void complete(std::int64_t serial, StoredAnswer answer, TimePoint now);
 
-    // Takes back a Run when nothing of it can have reached a target; the ticket may run again.
+    // Reverts a claim that returned Run if no part of the request can have reached a target. The
+    // ticket may run again.
     void release(std::int64_t serial);
 
     bool isIssuerOf(const Ticket &ticket) const;
     std::size_t size() const { return this->entries.size(); }
-    std::size_t storedBytes() const { return this->keptBytes; }
+    std::size_t storedBytes() const { return this->usedBytes; }
 
 private:
     enum class State { Issued, Running, Done };
@@ -99,24 +102,24 @@
         std::string scope;
         std::string bodyDigest;
         StoredAnswer answer;
-        TimePoint since;
-        std::list<std::int64_t>::iterator inOrder;    // own place in oldestFirst
-        std::list<std::int64_t>::iterator inCustomer; // own place in the customer's list
+        TimePoint changedAt;
+        std::list<std::int64_t>::iterator orderPosition;    // position in oldestFirst
+        std::list<std::int64_t>::iterator customerPosition; // position in the customer's list
     };
 
     using Entries = std::unordered_map<std::int64_t, Entry>;
 
     void expire(TimePoint now);
-    void makeRoom();
-    void boundCustomer(std::string_view customer);
+    void evictToLimit();
+    void enforceCustomerLimit(std::string_view customer);
     void forget(std::int64_t serial);
-    static std::size_t costOf(const Entry &entry);
+    static std::size_t memoryCost(const Entry &entry);
 
     std::string self;
     std::int64_t selfIncarnation;
     LedgerBounds limits;
     std::int64_t nextSerial = 1;
-    std::size_t keptBytes = 0;
+    std::size_t usedBytes = 0;
     Entries entries;
     std::list<std::int64_t> oldestFirst;
     std::unordered_map<std::string, std::list<std::int64_t>> byCustomer;
--- a/include/jaytrack/Quarantine/crashquarantine.h
+++ b/include/jaytrack/Quarantine/crashquarantine.h
@@ -38,8 +38,8 @@
     Duration settleTime = std::chrono::milliseconds(300);
 
     // Targets that end within this time of each other have a common cause, such as a rack's power
-    // supply. A request that was at several of them counts them once, unless it was sent to one
-    // after another had ended.
+    // supply. They count as one end for a request that was at several of them, unless it was sent
+    // to one of them after another had ended.
     Duration commonCauseWindow = std::chrono::milliseconds(100);
 
     // Maximum difference between the delays of two reports. A request that appears to have been
@@ -47,7 +47,7 @@
     Duration noticeJitter = std::chrono::milliseconds(20);
 
     // Reports of one target's end that differ by less than this time are about the same end. A
-    // later one is about another life of the target.
+    // later one is about another incarnation of the target.
     Duration sameEndWindow = std::chrono::seconds(1);
 
     // Ends that are older than this are ignored, because they are unlikely to be related.
@@ -74,7 +74,7 @@
 // The end of a target with the requests to which it had sent no part of an answer.
 struct TargetEnd
 {
-    std::string target; // identifies one life of the target
+    std::string target; // identifies one incarnation of the target
     std::vector<Suspect> suspects;
     Duration ago{0};
 };
--- a/include/jaytrack/Quarantine/crashwatch.h
+++ b/include/jaytrack/Quarantine/crashwatch.h
@@ -56,8 +56,8 @@
     CrashWatch &operator=(const CrashWatch &) = delete;
 
     // Records that the connection on which the request was sent at sentAt has just been lost before
-    // any answer arrived. The parameter target identifies the target's life; the address has the
-    // form IP:PORT.
+    // any answer arrived. The parameter target identifies the target's incarnation; the address has
+    // the form IP:PORT.
     void recordUnansweredLoss(std::string_view target, std::string_view address,
                               std::string_view digest, TimePoint sentAt);
 
--- a/include/jaytrack/Stream/handle.h
+++ b/include/jaytrack/Stream/handle.h
@@ -1,4 +1,4 @@
-// Resume handles and cursors: what a caller holds so that any instance can go on with its stream.
+// Resume handles and cursors, which a caller uses to resume its stream at any instance.
 #ifndef JAYTRACK_STREAM_HANDLE_H
 #define JAYTRACK_STREAM_HANDLE_H
 
@@ -11,7 +11,7 @@
 
 class KeyRing;
 
-// Names one generation on one engine, for one customer. Sealed, it is unguessable.
+// Identifies one generation on one engine for one customer. The sealed text cannot be guessed.
 struct StreamHandle
 {
     std::string engine;
@@ -23,7 +23,7 @@
     static std::optional<StreamHandle> unseal(const KeyRing &keys, std::string_view text);
 };
 
-// The event id of a stream: its sealed handle and the index of the token that it came with.
+// The event id in a stream: the sealed handle and the index of the event's token.
 struct Cursor
 {
     std::string handle;
@@ -33,7 +33,7 @@
     static std::optional<Cursor> parse(std::string_view text);
 };
 
-// Parses an unsigned decimal number that fills the whole text.
+// Parses an unsigned decimal number. Returns nullopt if the text contains anything else.
 std::optional<std::uint64_t> parseIndex(std::string_view text);
 
 } // namespace jaytrack
--- a/include/jaytrack/Stream/sse.h
+++ b/include/jaytrack/Stream/sse.h
@@ -1,5 +1,5 @@
-// Server-sent events, split out of a byte stream. No packaged library does this without bringing
-// its own transport, and the format is four line prefixes, so it is done here.
+// Parses and formats server-sent events. No packaged library does this without its own transport,
+// and the format consists of four line prefixes, so it is implemented here.
 #ifndef JAYTRACK_STREAM_SSE_H
 #define JAYTRACK_STREAM_SSE_H
 
@@ -10,34 +10,34 @@
 
 namespace jaytrack {
 
-// One event. The views are valid during the call that delivers it.
+// One event. The views are only valid during the callback that receives it.
 struct SseEvent
 {
     std::string_view id;
     std::string_view name;
     std::string_view data;
-    std::string_view text = {}; // all bytes of the event as they came, blank line included
+    std::string_view text = {}; // all received bytes of the event, including the blank line
 };
 
-// Cuts a byte stream, arriving in any pieces, into events.
+// Splits a byte stream that arrives in arbitrary pieces into events.
 class SseSplitter
 {
 public:
-    // An event larger than this is not taken; the stream counts as garbled.
+    // Maximum size of an event. A stream with a larger one is treated as garbled.
     static constexpr std::size_t maxEventBytes = 1U << 20U;
 
-    // Takes the next bytes and calls back for each whole event; a callback that returns false ends
-    // the splitting. Returns false if the stream is garbled or was ended.
+    // Processes the next bytes and calls onEvent for each complete event. If the callback returns
+    // false, splitting ends. Returns false if the stream is garbled or the callback ended it.
     bool feed(std::string_view bytes, const std::function<bool(const SseEvent &)> &onEvent);
 
-    // Whether an event has begun but not ended.
+    // Returns true if an event has begun but is not complete.
     bool hasPartialEvent() const { return !this->pending.empty(); }
 
 private:
     std::string pending;
 };
 
-// The text of one event with one line of data.
+// Returns the text of one event. Data with several lines gets one data field for each line.
 std::string formatSseEvent(const SseEvent &event);
 
 } // namespace jaytrack
--- a/lib/Once/ledger.cpp
+++ b/lib/Once/ledger.cpp
@@ -53,29 +53,31 @@
 Ticket TicketLedger::issue(std::string_view customer, std::string_view scope, TimePoint now)
 {
     this->expire(now);
-    this->boundCustomer(customer);
+    this->enforceCustomerLimit(customer);
     Ticket ticket{this->self, this->selfIncarnation, this->nextSerial++, std::string(customer),
                   std::string(scope)};
     Entry entry;
     entry.customer = ticket.customer;
     entry.scope = ticket.scope;
-    entry.since = now;
-    this->keptBytes += costOf(entry);
-    std::list<std::int64_t> &own = this->byCustomer[ticket.customer];
-    entry.inOrder = this->oldestFirst.insert(this->oldestFirst.end(), ticket.serial);
-    entry.inCustomer = own.insert(own.end(), ticket.serial);
+    entry.changedAt = now;
+    this->usedBytes += memoryCost(entry);
+    std::list<std::int64_t> &customerTickets = this->byCustomer[ticket.customer];
+    entry.orderPosition = this->oldestFirst.insert(this->oldestFirst.end(), ticket.serial);
+    entry.customerPosition = customerTickets.insert(customerTickets.end(), ticket.serial);
     this->entries.emplace(ticket.serial, std::move(entry));
-    this->makeRoom();
+    this->evictToLimit();
     return ticket;
 }
 
-// One customer who asks for tickets without end pushes out only its own, oldest first.
-void TicketLedger::boundCustomer(std::string_view customer)
+// Limits the tickets of one customer. A customer that requests too many tickets evicts only its
+// own, oldest first.
+void TicketLedger::enforceCustomerLimit(std::string_view customer)
 {
-    const auto own = this->byCustomer.find(std::string(customer));
-    if (own == this->byCustomer.end() || own->second.size() < this->limits.ticketsPerCustomer)
+    const auto customerTickets = this->byCustomer.find(std::string(customer));
+    if (customerTickets == this->byCustomer.end() ||
+        customerTickets->second.size() < this->limits.ticketsPerCustomer)
         return;
-    for (const std::int64_t serial : own->second) {
+    for (const std::int64_t serial : customerTickets->second) {
         if (this->entries.at(serial).state == State::Running)
             continue;
         this->forget(serial);
@@ -85,10 +87,11 @@
 
 Claim TicketLedger::claim(const Ticket &ticket, std::string_view bodyDigest, TimePoint now)
 {
-    assert(this->isIssuerOf(ticket) && "only the issuer decides about a ticket");
+    assert(this->isIssuerOf(ticket) &&
+           "a ticket can only be claimed at the instance that issued it");
     this->expire(now);
     const auto found = this->entries.find(ticket.serial);
-    // A forgotten ticket may have run, so it must neither run again nor be called not run.
+    // A forgotten ticket may have run. It must not run again, and must not be reported as not run.
     if (found == this->entries.end())
         return {ClaimKind::Refused, ResultCode::TicketForgotten, {}};
     Entry &entry = found->second;
@@ -99,9 +102,9 @@
     switch (entry.state) {
     case State::Issued:
         entry.state = State::Running;
-        this->keptBytes -= costOf(entry);
+        this->usedBytes -= memoryCost(entry);
         entry.bodyDigest = bodyDigest;
-        this->keptBytes += costOf(entry);
+        this->usedBytes += memoryCost(entry);
         return {ClaimKind::Run, ResultCode::Ok, {}};
     case State::Running:
         return {ClaimKind::Wait, ResultCode::StillRunning, {}};
@@ -115,25 +118,25 @@
 {
     const auto found = this->entries.find(serial);
     assert(found != this->entries.end() && found->second.state == State::Running &&
-           "a running ticket is never forgotten");
+           "complete() requires a running ticket, and running tickets are never forgotten");
     Entry &entry = found->second;
     entry.state = State::Done;
-    entry.since = now;
+    entry.changedAt = now;
     if (answer.body.size() > this->limits.answerBytes) {
         this->forget(serial);
         return;
     }
-    this->keptBytes -= costOf(entry);
+    this->usedBytes -= memoryCost(entry);
     entry.answer = std::move(answer);
-    this->keptBytes += costOf(entry);
-    this->makeRoom();
+    this->usedBytes += memoryCost(entry);
+    this->evictToLimit();
 }
 
 void TicketLedger::release(std::int64_t serial)
 {
     const auto found = this->entries.find(serial);
     assert(found != this->entries.end() && found->second.state == State::Running &&
-           "only a running ticket is released");
+           "release() requires a running ticket");
     found->second.state = State::Issued;
 }
 
@@ -145,18 +148,19 @@
         const Entry &entry = this->entries.at(serial);
         if (entry.state == State::Running)
             continue;
-        if (entry.since + this->limits.retention > now)
+        if (entry.changedAt + this->limits.retention > now)
             return;
         this->forget(serial);
     }
 }
 
-// Running tickets stay whatever the bounds say: forgetting one would answer its repeat wrongly
-// while the first is still on its way. The limit on concurrent requests bounds their number.
-void TicketLedger::makeRoom()
+// Evicts tickets, oldest first, until the memory limit is met. Running tickets are never evicted: a
+// repetition would get a wrong answer while the first request is still running. Their number is
+// limited by the limit on concurrent requests.
+void TicketLedger::evictToLimit()
 {
     for (auto it = this->oldestFirst.begin();
-         it != this->oldestFirst.end() && this->keptBytes > this->limits.bytes;) {
+         it != this->oldestFirst.end() && this->usedBytes > this->limits.bytes;) {
         const std::int64_t serial = *it;
         ++it;
         if (this->entries.at(serial).state != State::Running)
@@ -167,17 +171,17 @@
 void TicketLedger::forget(std::int64_t serial)
 {
     const auto found = this->entries.find(serial);
-    assert(found != this->entries.end() && "only a known ticket is forgotten");
-    this->keptBytes -= costOf(found->second);
-    const auto own = this->byCustomer.find(found->second.customer);
-    own->second.erase(found->second.inCustomer);
-    if (own->second.empty())
-        this->byCustomer.erase(own);
-    this->oldestFirst.erase(found->second.inOrder);
+    assert(found != this->entries.end() && "forget() requires a ticket of this ledger");
+    this->usedBytes -= memoryCost(found->second);
+    const auto customerTickets = this->byCustomer.find(found->second.customer);
+    customerTickets->second.erase(found->second.customerPosition);
+    if (customerTickets->second.empty())
+        this->byCustomer.erase(customerTickets);
+    this->oldestFirst.erase(found->second.orderPosition);
     this->entries.erase(found);
 }
 
-std::size_t TicketLedger::costOf(const Entry &entry)
+std::size_t TicketLedger::memoryCost(const Entry &entry)
 {
     return entryOverhead + entry.customer.size() + entry.scope.size() + entry.bodyDigest.size() +
            entry.answer.body.size() + entry.answer.contentType.size();
--- a/lib/Stream/handle.cpp
+++ b/lib/Stream/handle.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view handlePurpose = "stream";
-constexpr char separator = '.'; // not in the alphabet of sealed texts
+constexpr char separator = '.'; // does not occur in sealed texts
 
 } // namespace
 
--- a/lib/Stream/relay.cpp
+++ b/lib/Stream/relay.cpp
@@ -6,8 +6,8 @@
 {
     if (!this->isCurrent(attempt))
         return FrameVerdict::Drop;
-    // Two generations of one prompt differ after any token. Passing tokens of a second one after
-    // some of a first would hand the caller a text that no generation produced.
+    // Two generations of one prompt may differ after any token. Tokens of a second generation after
+    // some of a first would give the caller a text that no generation produced.
     const bool resumed = this->next != 0;
     if (resumed && !this->generationName.empty() && this->generationName != name)
         return FrameVerdict::Broken;
@@ -32,8 +32,8 @@
     if (!lost.maySentBytes && this->generationName.empty())
         return RecoveryStep::OtherEngine;
     const bool mayRestart = this->next == 0 && lost.repeatable;
-    // The engine may have died with the generation. While nothing of it was seen there is no reason
-    // to wait for it any longer than a broken link takes to mend.
+    // The engine may have terminated and lost the generation. While the caller has received
+    // nothing, there is no reason to wait longer than a broken connection takes to recover.
     if (mayRestart && lost.recoveries >= resumesBeforeRestart)
         return RecoveryStep::Restart;
     if (lost.engineResumes && lost.generationKnown)
--- a/lib/Stream/sse.cpp
+++ b/lib/Stream/sse.cpp
@@ -11,8 +11,8 @@
     return line;
 }
 
-// The value of a field if the line carries it.
-bool takeField(std::string_view line, std::string_view field, std::string_view &value)
+// Stores the value of the field and returns true if the line contains that field.
+bool parseField(std::string_view line, std::string_view field, std::string_view &value)
 {
     if (line.substr(0, field.size()) != field || line.size() <= field.size() ||
         line[field.size()] != ':')
@@ -23,8 +23,9 @@
     return true;
 }
 
-// The length of the first whole event in the text, its blank line included; zero if none is whole.
-std::size_t wholeEventLength(std::string_view text)
+// Returns the length of the first complete event in the text, including its blank line, or zero if
+// there is none.
+std::size_t completeEventLength(std::string_view text)
 {
     std::size_t start = 0;
     while (start < text.size()) {
@@ -38,7 +39,8 @@
     return 0;
 }
 
-// Data over several lines is joined with line feeds in the buffer, as the format asks.
+// Parses one event. The format requires data over several lines to be joined with line feeds, which
+// is done in the buffer joined.
 SseEvent parseEvent(std::string_view block, std::string &joined)
 {
     SseEvent event;
@@ -48,11 +50,11 @@
         const std::string_view line = stripCarriageReturn(block.substr(0, end));
         block.remove_prefix(end == std::string_view::npos ? block.size() : end + 1);
         std::string_view value;
-        if (takeField(line, "id", value)) {
+        if (parseField(line, "id", value)) {
             event.id = value;
-        } else if (takeField(line, "event", value)) {
+        } else if (parseField(line, "event", value)) {
             event.name = value;
-        } else if (takeField(line, "data", value)) {
+        } else if (parseField(line, "data", value)) {
             if (hasData) {
                 joined = std::string(event.data) + "\n" + std::string(value);
                 event.data = joined;
@@ -75,20 +77,20 @@
         text = this->pending;
     }
     std::string joined;
-    bool goOn = true;
-    while (goOn) {
-        const std::size_t length = wholeEventLength(text);
+    bool shouldContinue = true;
+    while (shouldContinue) {
+        const std::size_t length = completeEventLength(text);
         if (length == 0)
             break;
         SseEvent event = parseEvent(text.substr(0, length), joined);
         event.text = text.substr(0, length);
         text.remove_prefix(length);
         if (!event.data.empty() || !event.id.empty() || !event.name.empty())
-            goOn = onEvent(event);
+            shouldContinue = onEvent(event);
     }
     std::string rest(text);
     this->pending = std::move(rest);
-    return goOn && this->pending.size() <= maxEventBytes;
+    return shouldContinue && this->pending.size() <= maxEventBytes;
 }
 
 std::string formatSseEvent(const SseEvent &event)
--- a/unittests/Once/ledgertest.cpp
+++ b/unittests/Once/ledgertest.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-LedgerBounds smallBounds()
+LedgerBounds smallLimits()
 {
     LedgerBounds bounds;
     bounds.bytes = 4096;
@@ -18,7 +18,7 @@
     return bounds;
 }
 
-TimePoint at(int seconds)
+TimePoint atSecond(int seconds)
 {
     return TimePoint(std::chrono::seconds(seconds));
 }
@@ -30,81 +30,82 @@
 
 } // namespace
 
-// Symptom: a member is charged twice. Events: the caller's connection breaks, it repeats its
-// request under the same ticket. Cause: a ledger that says Run twice.
-Test(ledger, saysRunOnce)
+// Guards against charging a customer twice: the caller's connection breaks, it repeats its request
+// with the same ticket, and the ledger returns Run a second time.
+Test(ledger, returnsRunOnce)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket ticket = ledger.issue("weavers", "POST /pay", at(0));
-    cr_assert(ledger.claim(ticket, "x", at(1)).kind == ClaimKind::Run);
-    cr_assert(ledger.claim(ticket, "x", at(2)).kind == ClaimKind::Wait);
-    ledger.complete(ticket.serial, paid(), at(3));
-    const Claim repeat = ledger.claim(ticket, "x", at(4));
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket ticket = ledger.issue("weavers", "POST /pay", atSecond(0));
+    cr_assert(ledger.claim(ticket, "x", atSecond(1)).kind == ClaimKind::Run);
+    cr_assert(ledger.claim(ticket, "x", atSecond(2)).kind == ClaimKind::Wait);
+    ledger.complete(ticket.serial, paid(), atSecond(3));
+    const Claim repeat = ledger.claim(ticket, "x", atSecond(4));
     cr_assert(repeat.kind == ClaimKind::Answered);
     cr_assert(repeat.answer.body == "paid");
 }
 
-// Symptom: "not run" for a payment that ran. Events: the answer outgrows what the ledger keeps, or
-// grows too old, and the caller asks once more. Cause: taking a forgotten ticket for a new one.
-Test(ledger, callsForgottenTicketsUnknown)
+// Guards against reporting "not run" for a payment that ran. The answer exceeds the size limit or
+// the retention time, the caller repeats its request, and the ledger treats the forgotten ticket as
+// new.
+Test(ledger, reportsForgottenTicketsAsUnknown)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket old = ledger.issue("weavers", "POST /pay", at(0));
-    cr_assert(ledger.claim(old, "x", at(0)).kind == ClaimKind::Run);
-    ledger.complete(old.serial, paid(), at(0));
-    const Claim late = ledger.claim(old, "x", at(61));
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket old = ledger.issue("weavers", "POST /pay", atSecond(0));
+    cr_assert(ledger.claim(old, "x", atSecond(0)).kind == ClaimKind::Run);
+    ledger.complete(old.serial, paid(), atSecond(0));
+    const Claim late = ledger.claim(old, "x", atSecond(61));
     cr_assert(late.kind == ClaimKind::Refused);
     cr_assert(late.code == ResultCode::TicketForgotten);
     cr_assert(describe(late.code).outcome == Outcome::Unknown);
 
-    const Ticket large = ledger.issue("weavers", "POST /pay", at(70));
-    cr_assert(ledger.claim(large, "x", at(70)).kind == ClaimKind::Run);
-    ledger.complete(large.serial, {ResultCode::Ok, 200, "", std::string(2000, 'x')}, at(70));
-    cr_assert(ledger.claim(large, "x", at(70)).code == ResultCode::TicketForgotten);
+    const Ticket large = ledger.issue("weavers", "POST /pay", atSecond(70));
+    cr_assert(ledger.claim(large, "x", atSecond(70)).kind == ClaimKind::Run);
+    ledger.complete(large.serial, {ResultCode::Ok, 200, "", std::string(2000, 'x')}, atSecond(70));
+    cr_assert(ledger.claim(large, "x", atSecond(70)).code == ResultCode::TicketForgotten);
 }
 
-Test(ledger, refusesAnotherBody)
+Test(ledger, refusesDifferentBody)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket ticket = ledger.issue("weavers", "POST /pay", at(0));
-    cr_assert(ledger.claim(ticket, "x", at(1)).kind == ClaimKind::Run);
-    const Claim other = ledger.claim(ticket, "y", at(1));
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket ticket = ledger.issue("weavers", "POST /pay", atSecond(0));
+    cr_assert(ledger.claim(ticket, "x", atSecond(1)).kind == ClaimKind::Run);
+    const Claim other = ledger.claim(ticket, "y", atSecond(1));
     cr_assert(other.code == ResultCode::TicketBodyDiffers);
     cr_assert(describe(other.code).outcome == Outcome::NotRun);
 }
 
 Test(ledger, runsAgainAfterRelease)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket ticket = ledger.issue("weavers", "POST /pay", at(0));
-    cr_assert(ledger.claim(ticket, "x", at(1)).kind == ClaimKind::Run);
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket ticket = ledger.issue("weavers", "POST /pay", atSecond(0));
+    cr_assert(ledger.claim(ticket, "x", atSecond(1)).kind == ClaimKind::Run);
     ledger.release(ticket.serial);
-    cr_assert(ledger.claim(ticket, "x", at(2)).kind == ClaimKind::Run);
+    cr_assert(ledger.claim(ticket, "x", atSecond(2)).kind == ClaimKind::Run);
 }
 
-// Symptom: one customer's tickets vanish. Events: another customer asks for tickets without end.
-// Cause: one bound for all customers together.
-Test(ledger, boundsEachCustomerAlone)
+// Guards against one customer's tickets being evicted because another customer requests too many,
+// which happens if one limit applies to all customers together.
+Test(ledger, limitsEachCustomerSeparately)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket mine = ledger.issue("dyers", "POST /pay", at(0));
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket mine = ledger.issue("dyers", "POST /pay", atSecond(0));
     for (int i = 0; i < 100; ++i)
-        ledger.issue("weavers", "POST /pay", at(1));
-    cr_assert(ledger.claim(mine, "x", at(2)).kind == ClaimKind::Run);
+        ledger.issue("weavers", "POST /pay", atSecond(1));
+    cr_assert(ledger.claim(mine, "x", atSecond(2)).kind == ClaimKind::Run);
     cr_assert(ledger.size() == 4);
 }
 
-// Symptom: a repeat is answered while the first still runs. Events: the ledger is full.
-// Cause: forgetting a running ticket to make room.
-Test(ledger, neverForgetsRunningTickets)
+// Guards against answering a repetition while the first request is still running, which happens if
+// a full ledger evicts a running ticket.
+Test(ledger, neverEvictsRunningTickets)
 {
-    TicketLedger ledger("a", 1, smallBounds());
-    const Ticket running = ledger.issue("weavers", "POST /pay", at(0));
-    cr_assert(ledger.claim(running, "x", at(0)).kind == ClaimKind::Run);
+    TicketLedger ledger("a", 1, smallLimits());
+    const Ticket running = ledger.issue("weavers", "POST /pay", atSecond(0));
+    cr_assert(ledger.claim(running, "x", atSecond(0)).kind == ClaimKind::Run);
     for (int i = 0; i < 100; ++i)
-        ledger.issue("customer" + std::to_string(i), "POST /pay", at(1));
-    cr_assert(ledger.storedBytes() <= smallBounds().bytes);
-    cr_assert(ledger.claim(running, "x", at(1000)).kind == ClaimKind::Wait);
+        ledger.issue("customer" + std::to_string(i), "POST /pay", atSecond(1));
+    cr_assert(ledger.storedBytes() <= smallLimits().bytes);
+    cr_assert(ledger.claim(running, "x", atSecond(1000)).kind == ClaimKind::Wait);
 }
 
 struct SealCase
@@ -124,7 +125,7 @@
     cr_assert(!Ticket::unseal(keys, param->text));
 }
 
-Test(ticket, opensWithAnyKeyOfTheRing)
+Test(ticket, unsealsWithAnyKeyOfTheRing)
 {
     const KeyRing old({"0123456789abcdef"});
     const KeyRing rotated({"fedcba9876543210", "0123456789abcdef"});
@@ -136,17 +137,17 @@
     cr_assert(!Ticket::unseal(after, ticket.seal(old)));
 }
 
-// Symptom: a payment runs again after its instance was restarted. Events: the replacement keeps the
-// name, and its ledger has a ticket of the same serial number. Cause: knowing tickets by name
-// alone.
-Test(ledger, ownsOnlyItsIncarnation)
+// Guards against running a payment again after its instance was restarted. The replacement has the
+// same name, and its ledger contains a ticket with the same serial number, so tickets must be
+// identified by incarnation too.
+Test(ledger, isIssuerOfOnlyItsIncarnation)
 {
-    TicketLedger former("a", 1, smallBounds());
-    TicketLedger replacement("a", 2, smallBounds());
-    const Ticket old = former.issue("weavers", "POST /pay", at(0));
-    const Ticket fresh = replacement.issue("weavers", "POST /pay", at(1));
+    TicketLedger former("a", 1, smallLimits());
+    TicketLedger replacement("a", 2, smallLimits());
+    const Ticket old = former.issue("weavers", "POST /pay", atSecond(0));
+    const Ticket fresh = replacement.issue("weavers", "POST /pay", atSecond(1));
     cr_assert(old.serial == fresh.serial);
     cr_assert(!replacement.isIssuerOf(old));
     cr_assert(replacement.isIssuerOf(fresh));
-    cr_assert(!TicketLedger("b", 2, smallBounds()).isIssuerOf(fresh));
+    cr_assert(!TicketLedger("b", 2, smallLimits()).isIssuerOf(fresh));
 }
--- a/unittests/Quarantine/crashquarantinetest.cpp
+++ b/unittests/Quarantine/crashquarantinetest.cpp
@@ -71,7 +71,10 @@
              {{0, "a", "p"}, {50, "a", "p"}, {100, "a", "p"}},
              3,
              ""},
-            {"one name, three lives", {{0, "a", "p"}, {4000, "a", "p"}, {8000, "a", "p"}}, 3, "p"},
+            {"one name, three incarnations",
+             {{0, "a", "p"}, {4000, "a", "p"}, {8000, "a", "p"}},
+             3,
+             "p"},
             {"present at two of three ends",
              {{0, "a", "p q"}, {800, "b", "p q"}, {1600, "c", "p"}},
              3,
@@ -290,7 +293,7 @@
             // Once per second each instance sends its barred requests to three others.
             if (step % 100 == static_cast<int>(i % 100)) {
                 for (const BarredRequest &request : fleet[i].barred()) {
-                    for (int told = 0; told < 3; ++told) {
+                    for (int sent = 0; sent < 3; ++sent) {
                         if (arrives())
                             fleet[random() % fleet.size()].bar(request);
                     }
--- a/unittests/Stream/relaytest.cpp
+++ b/unittests/Stream/relaytest.cpp
@@ -5,8 +5,9 @@
 
 using namespace jaytrack;
 
-// Symptom: a caller sees a token twice. Events: the link to the engine breaks, the relay attaches
-// again, and frames of the first connection arrive late. Cause: judging frames by index alone.
+// Guards against sending a token twice: the connection to the engine breaks, the relay attaches
+// again, and frames of the first connection arrive late. The index alone does not identify such
+// frames.
 Test(relay, dropsFramesOfAbandonedAttempts)
 {
     StreamRelay relay;
@@ -29,8 +30,8 @@
     cr_assert(!relay.seenAny());
 }
 
-// Symptom: a draft whose second half belongs to another text. Events: the engine dies and restarts,
-// the relay asks for the rest. Cause: joining two generations under one stream.
+// Guards against a text whose second half belongs to another generation: the engine terminates and
+// restarts, and the relay requests the rest of the stream.
 Test(relay, neverJoinsTwoGenerations)
 {
     StreamRelay relay;
@@ -56,32 +57,32 @@
     bool generationKnown;
     bool repeatable;
     int recoveries;
-    int seen;
+    int received;
     RecoveryStep expected;
 };
 
 ParameterizedTestParameters(relay, recovers)
 {
     static RecoveryCase cases[] = {
-            // Nothing reached the engine: anybody may run it, also what may run only once.
+            // Nothing reached the engine: any engine may run it, even if it may run only once.
             {false, false, false, false, 0, 0, RecoveryStep::OtherEngine},
             {false, true, false, true, 3, 0, RecoveryStep::OtherEngine},
             // It may be running and may not be repeated.
             {true, false, false, false, 0, 0, RecoveryStep::GiveUp},
             {true, true, false, false, 0, 0, RecoveryStep::GiveUp},
-            // The engine still has it.
+            // The engine still has the generation.
             {true, true, true, false, 0, 5, RecoveryStep::Resume},
             {false, true, true, true, 0, 5, RecoveryStep::Resume},
-            // Nothing was seen and another one may start.
+            // The caller has received nothing and another generation may start.
             {true, false, true, true, 0, 0, RecoveryStep::Restart},
             {true, true, false, true, 0, 0, RecoveryStep::Restart},
-            // Something was seen and the engine cannot go on.
+            // The caller has received tokens and the engine cannot resume.
             {true, false, true, true, 0, 5, RecoveryStep::GiveUp},
             {true, true, false, true, 0, 5, RecoveryStep::GiveUp},
-            // Enough is enough.
+            // The maximum number of recoveries has been reached.
             {false, false, false, true, 6, 0, RecoveryStep::GiveUp},
             {true, true, true, true, 6, 5, RecoveryStep::GiveUp},
-            // The engine seems dead and nothing of its generation was seen.
+            // The engine appears to be down and the caller has received nothing of its generation.
             {true, true, true, true, 1, 0, RecoveryStep::Resume},
             {true, true, true, true, 2, 0, RecoveryStep::Restart},
             {true, true, true, false, 2, 0, RecoveryStep::Resume},
@@ -95,7 +96,7 @@
     const AttemptId attempt = relay.beginAttempt();
     if (param->generationKnown)
         relay.onGeneration(attempt, "g");
-    for (int i = 0; i < param->seen; ++i)
+    for (int i = 0; i < param->received; ++i)
         relay.onToken(attempt, static_cast<std::uint64_t>(i));
     const LostAttempt lost{param->maySentBytes, param->engineResumes, param->generationKnown,
                            param->repeatable, param->recoveries};
--- a/unittests/Stream/ssetest.cpp
+++ b/unittests/Stream/ssetest.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// Splits the text cut into pieces of the given size and joins what was found.
+// Feeds the text in pieces of the given size and returns the events, joined.
 std::string split(std::string_view text, std::size_t piece)
 {
     SseSplitter splitter;
@@ -36,7 +36,7 @@
     char expected[64];
 };
 
-ParameterizedTestParameters(sse, splitsHoweverItIsCut)
+ParameterizedTestParameters(sse, splitsStreamInPiecesOfAnySize)
 {
     static SseCase cases[] = {
             {"data: a\n\n", "||a;"},
@@ -51,15 +51,14 @@
     return cr_make_param_array(SseCase, cases, std::size(cases));
 }
 
-ParameterizedTest(SseCase *param, sse, splitsHoweverItIsCut)
+ParameterizedTest(SseCase *param, sse, splitsStreamInPiecesOfAnySize)
 {
     for (std::size_t piece = 1; piece < 100; ++piece)
         cr_assert_eq(split(param->text, piece), std::string(param->expected), "piece %zu", piece);
 }
 
-// Symptom: the instance's memory grows until it is killed. Events: a target sends one event without
-// end. Cause: buffering without a bound.
-Test(sse, boundsAnEvent)
+// Guards against unbounded memory use when a target sends an event that never ends.
+Test(sse, limitsEventSize)
 {
     SseSplitter splitter;
     const std::string large(SseSplitter::maxEventBytes / 2 + 1, 'x');
@@ -68,7 +67,7 @@
     cr_assert(!splitter.feed(large, ignore));
 }
 
-Test(sse, formatsWhatItSplits)
+Test(sse, formattedEventCanBeSplit)
 {
     const std::string text = formatSseEvent({"7", "error", "a\nb"});
     cr_assert_eq(split(text, 3), std::string("7|error|a\nb;"));
@@ -77,7 +76,7 @@
 struct CursorCase
 {
     char text[32];
-    bool good;
+    bool valid;
 };
 
 ParameterizedTestParameters(cursor, parses)
@@ -93,12 +92,12 @@
 
 ParameterizedTest(CursorCase *param, cursor, parses)
 {
-    cr_assert(Cursor::parse(param->text).has_value() == param->good);
+    cr_assert(Cursor::parse(param->text).has_value() == param->valid);
 }
 
-// Symptom: one customer reads another's draft. Events: it changes a byte of its own handle.
-// Cause: handles that are not authenticated.
-Test(handle, cannotBeChanged)
+// Guards against a customer reading another customer's text by modifying its own handle, which is
+// possible if handles are not authenticated.
+Test(handle, rejectsModifiedText)
 {
     const KeyRing keys({"0123456789abcdef"});
     const StreamHandle handle{"engine", "generation", "customer", "model"};
