--- a/include/jaytrack/Proxy/datagrampacer.h
+++ b/include/jaytrack/Proxy/datagrampacer.h
@@ -1,8 +1,8 @@
-// When large datagrams may leave.
+// Limits the rate at which large datagrams are sent, with a token bucket.
 //
-// Load that it answers: a configuration of 5 KB goes to 37 instances at once, and each relay sends
-// it to 32 more. 190 KB in one moment overflow the queue of a link of 20 Mbit/s: of 195 instances
-// 168 did not get it and asked the store, 168 calls for one change.
+// A configuration of 5 KB is sent to 37 instances at once, and each relay sends it to 32 more.
+// Without pacing, these 190 KB overflow the queue of a 20 Mbit/s link: 168 of 195 instances did not
+// receive the configuration and queried the store, which made 168 calls for one change.
 #ifndef JAYTRACK_PROXY_DATAGRAMPACER_H
 #define JAYTRACK_PROXY_DATAGRAMPACER_H
 
@@ -14,30 +14,31 @@
 
 struct DatagramPacerOptions
 {
-    // Datagrams up to this size leave at once: they are news of placements, a few hundred bytes
-    // each, which are worth something only within milliseconds.
+    // Datagrams up to this size are sent immediately. They carry placement notices of a few hundred
+    // bytes each, which are useful only within milliseconds.
     std::size_t smallBytes = 1024;
 
-    // Bytes a second of larger ones: the slowest links have 10 Mbit/s, most of it for callers. A
-    // configuration then reaches a fleet of 195 within some 0.3 s of the 4 s that it may take.
+    // Rate of larger datagrams. The slowest links have 10 Mbit/s, most of which is needed for
+    // callers. At this rate a configuration reaches a fleet of 195 instances within about 0.3 s of
+    // the 4 s allowed.
     double bytesPerSecond = 1'000'000;
 
-    // Bytes that may leave together, five parts of a table of members.
+    // Bytes that may be sent in one burst: five parts of a member table.
     double burstBytes = 24'000;
 };
 
 class DatagramPacer
 {
 public:
-    explicit DatagramPacer(const Clock &time, DatagramPacerOptions given = {})
+    explicit DatagramPacer(const Clock &time, DatagramPacerOptions pacerOptions = {})
         : clock(time)
-        , options(given)
-        , allowance(given.burstBytes)
+        , options(pacerOptions)
+        , allowance(pacerOptions.burstBytes)
         , countedAt(time.now())
     {
     }
 
-    // Whether a datagram of this size may leave now. If so, it is taken off the allowance.
+    // Whether a datagram of this size may be sent now. If so, deducts it from the allowance.
     bool take(std::size_t bytes);
 
 private:
--- a/include/jaytrack/Proxy/entryinstance.h
+++ b/include/jaytrack/Proxy/entryinstance.h
@@ -1,4 +1,4 @@
-// One entry instance on a platform: listens, follows the store, and serves requests.
+// An entry instance on a platform: listens for callers, follows the store, and serves requests.
 #ifndef JAYTRACK_PROXY_ENTRYINSTANCE_H
 #define JAYTRACK_PROXY_ENTRYINSTANCE_H
 
@@ -22,11 +22,11 @@
     // Opens the listeners. Fails if an address cannot be bound.
     Result<void> open();
 
-    // Serves until stopped. settingsFile is read again on SIGHUP and when it changes; SIGTERM and
-    // SIGINT begin a graceful shutdown.
+    // Serves until stopped. Reloads settingsFile on SIGHUP and when it changes; SIGTERM and SIGINT
+    // start a graceful shutdown.
     void run(const std::string &settingsFile);
 
-    // For tests: the ports that were bound, and an end from another thread.
+    // For tests: the bound ports, and an immediate stop that may be called from another thread.
     std::uint16_t callerPort() const;
     std::uint16_t readinessPort() const;
     void stopNow();
--- a/include/jaytrack/Proxy/entrysettings.h
+++ b/include/jaytrack/Proxy/entrysettings.h
@@ -27,22 +27,24 @@
 
     std::string store; // IP:PORT
 
-    std::string peers;                  // IP:PORT for datagrams between instances; empty for none
-    std::vector<std::string> peerSeeds; // IP:PORT of instances to ask first, with the peers' port
-    std::vector<std::string> peerKeys;  // the first signs, all verify, so that keys can rotate
+    std::string peers; // IP:PORT for datagrams between instances; empty for none
+    std::vector<std::string>
+            peerSeeds; // IP:PORT of the instances to contact first, with the peers' port
+    std::vector<std::string>
+            peerKeys; // the first key signs, all verify, so that keys can be rotated
 
-    // A key that was taken away must stop working within this time, everywhere.
+    // A revoked key must stop working at all instances within this time.
     std::chrono::milliseconds keyFreshness{5000};
-    // A change of configuration is in force within this time where the store is reached.
+    // A configuration change takes effect within this time at instances that can reach the store.
     std::chrono::milliseconds configurationDelay{2000};
-    // Between SIGTERM and the forced end.
+    // Time between SIGTERM and the forced exit.
     std::chrono::seconds drainGrace{8};
-    // Repeats to a service, over all instances, as a share of its requests in a window.
+    // Maximum retries to a service, over all instances, as a fraction of its requests in a window.
     double retryRatio = 0.1;
     std::chrono::seconds retryWindow{10};
-    // Repeats allowed in a window beyond that share.
+    // Retries allowed in a window beyond that fraction.
     double retrySlack = 20;
-    // Requests to a target that is cold, over all instances.
+    // Limits requests to a cold target, over all instances.
     ColdBound coldBound;
 
     std::size_t memoryBytes = 110U << 20U;
@@ -51,7 +53,7 @@
     EntryTuning tuning;
 };
 
-// Reads and checks a settings file, adding every fault to problems.
+// Reads and validates a settings file; adds each error to problems.
 EntrySettings readEntrySettings(const std::string &file, Problems &problems);
 
 } // namespace jaytrack
--- a/include/jaytrack/Proxy/entrytuning.h
+++ b/include/jaytrack/Proxy/entrytuning.h
@@ -1,6 +1,6 @@
-// The figures by which an entry instance decides, as one set: each policy's own options, and the
-// table of the settings in which an operator may change them. The defaults are meant to stand; the
-// table is there to measure what a mechanism is worth by switching it off.
+// The tuning parameters of an entry instance: the options of each policy, and the settings table
+// with which an operator may change them. The defaults are intended for production; the table
+// exists to measure the benefit of a mechanism by switching it off.
 #ifndef JAYTRACK_PROXY_ENTRYTUNING_H
 #define JAYTRACK_PROXY_ENTRYTUNING_H
 
@@ -12,25 +12,25 @@
 
 namespace jaytrack {
 
-// How a generation waits, is refused and moves.
+// Options for how a generation waits for capacity, is refused and moves between engines.
 struct StreamOptions
 {
-    // A generation waits for room for this part of its objective before its caller is refused.
-    // Told that early, the caller can still come back in time for the whole objective.
-    double partOfObjectiveToWait = 0.06;
-
-    // A caller that met full engines is told to come back within this part of its objective, drawn
-    // at random, so that the herd spreads and its answer is still worth having.
-    double partOfObjectiveToReturn = 0.25;
-
-    // Of the time until the first token is late, this part may be planned for; the rest is for what
-    // the forecast does not know.
-    double usablePartOfObjective = 0.6;
-
-    // Copies on notice begin within this time: long enough for notices between instances (2 ms
-    // each) to keep sixty of them apart, short against the second and a half that a departure
-    // leaves.
-    std::chrono::milliseconds mostFirstPause{100};
+    // Fraction of its objective for which a generation waits for engine capacity before it is
+    // refused. A caller refused this early can still retry within the objective.
+    double maxWaitFraction = 0.06;
+
+    // A caller that met full engines is told to retry after a random delay of at most this fraction
+    // of its objective, so that retries spread out and the answer is still useful.
+    double maxRetryDelayFraction = 0.25;
+
+    // Fraction of the time remaining until the first token is late that may be planned for. The
+    // rest allows for errors of the forecast.
+    double usableObjectiveFraction = 0.6;
+
+    // Maximum random delay before a run is copied away from an engine that announces its shutdown.
+    // It is long enough for notices between instances (2 ms each) to keep sixty copies apart, and
+    // short compared with the 1.5 s that a shutdown leaves.
+    std::chrono::milliseconds maxFirstCopyDelay{100};
 };
 
 struct EntryTuning
@@ -39,17 +39,17 @@
     ReadDutyOptions sharing;
     StreamOptions streams;
 
-    // After an answer with changes a reader of the store pauses. Changes come some times a second,
-    // and readers that have not just been answered bring the next one without delay; with a pause
-    // of 50 ms the readers of 73 instances made 10 calls a second each.
-    std::chrono::milliseconds storeGap{400};
+    // Pause of a store reader after an answer with changes. There are several changes a second, and
+    // readers that have not just been answered deliver the next one without delay. With a pause of
+    // 50 ms the readers of 73 instances made 10 calls a second each.
+    std::chrono::milliseconds storeReadInterval{400};
 
-    // How often each engine is asked for its load. A question has a price at the engine; its answer
-    // is half a second old when it comes, so asking much more often tells little more.
-    std::chrono::milliseconds probeGap{700};
+    // Interval between load probes of an engine. A probe costs the engine work, and its answer is
+    // half a second old when it arrives, so probing much more often gives little more information.
+    std::chrono::milliseconds probeInterval{700};
 };
 
-// Reads the table, in which every key may be left out, adding every fault to the table's problems.
+// Reads the table, in which every key is optional, and adds each error to the table's problems.
 EntryTuning readEntryTuning(TomlTable &table);
 
 } // namespace jaytrack
--- a/include/jaytrack/Proxy/exchange.h
+++ b/include/jaytrack/Proxy/exchange.h
@@ -1,4 +1,4 @@
-// One request of a caller from its admission to its final answer.
+// Handles one caller request from admission to its final answer.
 #ifndef JAYTRACK_PROXY_EXCHANGE_H
 #define JAYTRACK_PROXY_EXCHANGE_H
 
@@ -31,7 +31,8 @@
 class Metrics;
 class Exchange;
 
-// Tells the other instances what the generations of this one take and give back at engines.
+// Announces to the other instances the engine memory that generations of this one reserve and
+// release, and the engines that fail.
 class PlacementNotices
 {
 public:
@@ -42,7 +43,7 @@
     virtual void announceFailed(std::string_view engine) = 0;
 };
 
-// What all requests of an instance share.
+// State shared by all requests of an instance.
 struct ExchangeContext
 {
     asio::io_context &loop;
@@ -64,56 +65,59 @@
     LimitGate &limits;
     const StreamOptions &streams;
     std::set<std::shared_ptr<Exchange>>
-            &open; // keeps each exchange alive until its answer is given
+            &open; // keeps each exchange alive until it has been answered
 };
 
-// A request that was admitted.
 struct AdmittedRequest
 {
     CallerRequest request;
     RequestFacts facts;
     Admission admission;
-    std::shared_ptr<const RoutingTable> table; // the version that the request is decided under
+    std::shared_ptr<const RoutingTable> table; // the table version that decides this request
 };
 
-// By which a request is recognised when its caller sends it again.
+// Returns the digest that identifies a request, so that it is recognised when the caller resends
+// it.
 std::string digestOf(const AdmittedRequest &admitted);
 
+// Common part of plain and streaming requests: target selection, the deadline, and the final
+// answer.
 class Exchange : public CallerListener, public std::enable_shared_from_this<Exchange>
 {
 public:
-    Exchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> from,
-             AdmittedRequest admitted);
+    Exchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> connection,
+             AdmittedRequest admittedRequest);
     ~Exchange() override;
     Exchange(const Exchange &) = delete;
     Exchange &operator=(const Exchange &) = delete;
 
     void start();
 
-    // A target may no longer be given work and will end.
+    // The target accepts no new work and will shut down.
     virtual void onTargetLeaving(const TargetEntry &entry, std::string_view reason) = 0;
 
-    // Nothing new may be sent to the targets of a data centre; what runs there goes on.
+    // No new work may be sent to targets of the data centre; runs in progress there continue.
     virtual void onDataCentreOutOfUse(std::string_view dataCentre) = 0;
 
-    // A target started again; what it worked on is lost.
+    // The target has restarted and lost its work in progress.
     virtual void onTargetRestarted(const TargetEntry &ended) = 0;
 
-    // No target may be given the request any more. An answer that has begun goes on: its target
-    // runs it without harm.
+    // The request with this digest may not be sent to any target any more. An answer that has begun
+    // continues, because its target runs the request without crashing.
     void onRequestBarred(std::string_view barredDigest);
 
-    // The instance ends now, so the caller gets the final answer that can be given.
+    // The instance terminates now: sends the caller the final answer that is still possible.
     void onInstanceEnding();
 
 protected:
     virtual void attempt() = 0;
     virtual void cancelCalls() = 0;
 
-    // Adds what the line at the end of the request shall say beyond code and time.
+    // Adds request-specific fields to the request_ended log event.
     virtual void describeEnd(std::vector<LogField> &fields) const;
 
-    // Whether the head of the answer has gone to the caller, after which only its end can be told.
+    // Whether the response head has been sent to the caller. After that no other status can be
+    // sent; a failure can only close the connection.
     virtual bool hasBegunAnswer() const { return false; }
 
     // Whether some target may have begun to work on the request.
@@ -124,68 +128,69 @@
     const RequestFacts &facts() const { return this->admitted.facts; }
     const ServiceRule *service() const;
 
-    // The connection on which the request went to a target at that moment was lost. Whether the
-    // target ended is found out elsewhere; if it did, a request to which it had answered nothing
-    // may be what ended it.
-    void noteLostUnanswered(const TargetEntry &target, TimePoint sentAt) const;
+    // Reports to CrashWatch that the connection to the target was lost before it answered the
+    // request sent at sentAt. CrashWatch determines whether the target crashed; if it did, an
+    // unanswered request may be the cause.
+    void reportLostUnanswered(const TargetEntry &target, TimePoint sentAt) const;
 
-    // A target has run the request without harm.
-    void noteRanWell() const;
+    // Reports to CrashWatch that a target ran the request without crashing.
+    void reportSafeRun() const;
 
-    // Targets of the request's service that are in use, in regions where it may run.
+    // Targets of the request's service that are in use and lie in regions where it may run.
     std::vector<const TargetEntry *> allowedTargets() const;
 
     bool isAllowed(const TargetEntry &target) const;
 
-    // Those of them that want work now.
+    // Allowed targets that currently accept work.
     std::vector<const TargetEntry *> usableTargets() const;
 
-    // Those of them that were not tried yet.
-    std::vector<const TargetEntry *> untried() const;
+    // Usable targets that this request has not been sent to yet.
+    std::vector<const TargetEntry *> untriedTargets() const;
 
-    // Whether the route and the customer allow the region of the target.
+    // Whether the route and the customer allow the target's region.
     bool isAllowedAt(const TargetEntry &target) const;
 
-    // How long the target may get nothing of this instance: it wants rest, is cold, or names a
-    // limit that is used up.
-    Duration restOf(const TargetEntry &target, double rate) const;
+    // Time for which this instance must not send to the target, because the target asked for a
+    // pause, is cold, or has a rate limit that is exhausted.
+    Duration remainingPause(const TargetEntry &target, double rate) const;
 
-    // Requests a second that a cold target of the service bears.
-    double coldRate() const;
+    // Requests per second that a cold target of the service accepts.
+    double coldRequestsPerSecond() const;
 
-    // The time until the first target that wants no work now takes some again.
-    std::optional<Duration> shortestRest() const;
+    // Time until the first paused target accepts work again; empty if none is paused.
+    std::optional<Duration> shortestPause() const;
 
-    // Why a request finds no target, for the log.
-    std::string_view lackOfTargets() const;
+    // Reason for the log why no target is available.
+    std::string_view noTargetReason() const;
 
-    // Ends the request because all targets that are left want no work for a while.
-    void refuseUntilRested();
+    // Refuses the request because all remaining targets are paused.
+    void refuseAllPaused();
 
-    // Goes on once it is known whether the target, which may name a limit, takes one request more:
-    // with what is given if it does and may still be used, else with another attempt.
-    void whenPermitted(const TargetEntry &target,
-                       const std::function<void(const TargetEntry &)> &send);
+    // Requests a permit for the target, which may have a rate limit. Calls send if the permit is
+    // granted and the target may still be used, and starts another attempt otherwise.
+    void sendWhenPermitted(const TargetEntry &target,
+                           const std::function<void(const TargetEntry &)> &send);
 
     std::chrono::milliseconds timeLeft() const;
 
-    // By which the request is recognised when its caller sends it again.
+    // Identifies the request when its caller sends it again.
     const std::string &digest() const;
 
-    // The request as it goes to a target. Orders about deadline, identity and customer are filled
-    // in.
+    // Builds the request to send to the target; fills in the deadline, target name and customer of
+    // orders.
     TargetRequest makeRequest(const TargetEntry &target, ForwardOrders orders,
                               const asio::ip::tcp::endpoint &endpoint) const;
 
-    // Final answers of the instance's own. A code whose outcome is "not run" carries the delay
-    // after which the caller had better come back. If the answer has begun, the connection is
-    // closed without its end instead: a second status line would be read as a part of the body.
-    void answerOwn(ResultCode code, std::string_view detail);
+    // Sends a final answer generated by this instance. A result whose outcome is "not run" carries
+    // the delay after which the caller should retry. If the response has begun, the connection is
+    // closed before the end of the body instead, because a second status line would be read as part
+    // of the body.
+    void answerWithResult(ResultCode code, std::string_view detail);
 
-    // Passes on a target's whole answer.
-    void answerWhole(const MessageHead &head, std::string_view body, std::string_view target);
+    // Forwards a target's complete answer to the caller.
+    void forwardAnswer(const MessageHead &head, std::string_view body, std::string_view target);
 
-    // Ends the request after the answer was given by other means, or cannot be given.
+    // Ends and logs the request after it was answered by other means, or cannot be answered.
     void finish(ResultCode code, int status, std::string_view detail);
 
     bool isFinished() const { return this->finished; }
@@ -197,32 +202,32 @@
     AdmittedRequest admitted;
     std::string serviceName;
     std::set<std::string> tried; // ids of targets
-    int sends = 0;               // attempts of which bytes may have left
-    int runs = 0;                // those of them that the target did not vouch for as not run
-    TimePoint limit;             // the final answer is due by then
+    int sends = 0;               // attempts for which bytes may have been sent
+    int runs = 0;                // sends that the target did not report as not run
+    TimePoint deadline;          // time by which the final answer is due
 
 private:
-    void goOnWith(const TargetEntry &target, const Permit &permit,
+    void onPermit(const TargetEntry &target, const Permit &permit,
                   const std::function<void(const TargetEntry &)> &send);
-    std::chrono::milliseconds delayToReturn(ResultCode code) const;
+    std::chrono::milliseconds retryDelay(ResultCode code) const;
     void onCallerGone() override;
-    void onLimit();
+    void onDeadline();
 
-    asio::steady_timer limitTimer;
-    mutable std::string knownDigest; // empty until it is asked for
+    asio::steady_timer deadlineTimer;
+    mutable std::string cachedDigest; // computed on first use
     bool finished = false;
 };
 
-// The headers of a target's answer that concern the caller; those of the connection stay behind.
+// Returns a target's response headers without hop-by-hop headers.
 std::vector<HttpHeader> answerHeaders(std::span<const HttpHeader> headers);
 
-// Headers that concern only one connection, among them those that Connection names.
+// Removes hop-by-hop headers, including those that the Connection header names, and Expect.
 std::vector<HttpHeader> withoutHopByHop(std::span<const HttpHeader> headers);
 
-// How long a caller who was refused had better wait before it comes back: at most that part of its
-// objective where targets were full.
-std::chrono::milliseconds comeBackDelay(ResultCode code, const RouteRule *route, double most,
-                                        std::mt19937_64 &random);
+// Returns a random delay after which a refused caller should retry: where targets were full, at
+// most the fraction maxPart of the route's objective.
+std::chrono::milliseconds retryAfterDelay(ResultCode code, const RouteRule *route, double maxPart,
+                                          std::mt19937_64 &random);
 
 std::shared_ptr<Exchange> makePlainExchange(ExchangeContext &context,
                                             std::shared_ptr<CallerConnection> caller,
--- a/include/jaytrack/Proxy/loadprober.h
+++ b/include/jaytrack/Proxy/loadprober.h
@@ -1,5 +1,5 @@
-// Asks model engines for their load, so that placement has something to go by. Each engine is asked
-// by one of the instances, which tells the others.
+// Queries model engines for their load, on which placement is based. Each engine is queried by one
+// instance, which sends the report to the others.
 #ifndef JAYTRACK_PROXY_LOADPROBER_H
 #define JAYTRACK_PROXY_LOADPROBER_H
 
@@ -18,36 +18,38 @@
 
 namespace jaytrack {
 
-// Shares the asking with other instances.
+// Divides the probing of engines among the instances.
 class LoadSharing
 {
 public:
     virtual ~LoadSharing() = default;
     virtual bool isMineToAsk(std::string_view engine) const = 0;
 
-    // Whether this instance gives work to the engine and has to know its load.
+    // Whether this instance places work on the engine and therefore needs its load.
     virtual bool isMine(std::string_view engine) const = 0;
 
     // An engine reported its load to this instance.
     virtual void onLoad(std::string_view engine, const EngineLoad &load) = 0;
 
-    // An engine did not answer when it was asked.
+    // An engine did not answer a probe.
     virtual void onNoLoad(std::string_view engine) = 0;
 };
 
 class LoadProber final
 {
 public:
-    // Without any report for this long an instance asks for itself: whoever should has gone.
-    static constexpr std::chrono::milliseconds askAnyway{2500};
+    // An instance without a report for this long probes the engine itself, because the instance
+    // responsible for it must be gone.
+    static constexpr std::chrono::milliseconds maxReportAge{2500};
 
-    // An engine that gets its work from others is looked at again after this time: it may have
-    // fallen to this instance.
-    static constexpr std::chrono::milliseconds lookAgain{4000};
+    // Interval at which an engine that gets its work from other instances is checked, because it
+    // may have been reassigned to this instance.
+    static constexpr std::chrono::milliseconds assignmentCheckInterval{4000};
 
-    LoadProber(asio::io_context &loop, const Clock &time, const Dialect &words, EngineChoice &told,
-               LoadSharing &shared, SelfReports &heard, LimitGate &gate, std::mt19937_64 &source,
-               std::chrono::milliseconds askGap);
+    LoadProber(asio::io_context &loop, const Clock &time, const Dialect &platform,
+               EngineChoice &engineChoice, LoadSharing &loadSharing, SelfReports &reports,
+               LimitGate &gate, std::mt19937_64 &source,
+               std::chrono::milliseconds timeBetweenProbes);
 
     void add(const TargetEntry &entry);
     void remove(std::string_view id);
@@ -63,7 +65,7 @@
     SelfReports &selfReports;
     LimitGate &limits;
     std::mt19937_64 &random;
-    std::chrono::milliseconds gap; // between two questions to an engine
+    std::chrono::milliseconds interval; // between two probes of an engine
     std::map<std::string, std::shared_ptr<Probe>, std::less<>> probes;
 };
 
--- a/include/jaytrack/Proxy/peerlink.h
+++ b/include/jaytrack/Proxy/peerlink.h
@@ -1,10 +1,11 @@
-// What entry instances tell each other: who is there, and which engine each generation went to.
+// Exchanges messages between entry instances: membership, placements of generations, and updates
+// about targets, limits and the store.
 //
-// Load that it answers: an engine's own report is half a second old when it comes and is asked for
-// once a second. Meanwhile every other instance sends prompts to the engine that looked idle, and
-// each prompt of three thousand tokens delays the first token of the next by half a second. A
-// notice takes two milliseconds. Nothing depends on it: one that is lost leaves an instance with
-// the reports alone.
+// An engine's own load report is half a second old when it arrives and is requested once a second.
+// Meanwhile all other instances would send prompts to the engine that looked idle, and each prompt
+// of three thousand tokens delays the first token of the next by half a second. A placement notice
+// takes two milliseconds. Correctness does not depend on notices: if one is lost, the instance has
+// only the load reports.
 #ifndef JAYTRACK_PROXY_PEERLINK_H
 #define JAYTRACK_PROXY_PEERLINK_H
 
@@ -40,27 +41,26 @@
     std::string name;
     std::string dataCentre;
     std::string listen;             // IP:PORT for datagrams
-    std::vector<std::string> seeds; // IP:PORT of other instances to ask first
-    std::vector<std::string> keys;  // the first signs, all verify
+    std::vector<std::string> seeds; // IP:PORT of the instances to contact first
+    std::vector<std::string> keys;  // the first key signs, all verify
 };
 
-// What an instance read of the store, for others.
+// Changes that an instance read from the store, to be shared with the others.
 struct SharedChanges
 {
     std::uint64_t from = 0;
     std::uint64_t to = 0;
     std::vector<StoreItem> items;
-    bool incomplete = false;  // some item was too large to be passed on
-    bool afterOutage = false; // removals may be of entries that lapsed while the store was away
+    bool incomplete = false;  // an item was too large to be shared or could not be read
+    bool afterOutage = false; // removed entries may have expired while the store was unavailable
     std::uint64_t era = 0;    // the history that the revisions belong to; 0 if none is known
 };
 
-// The same changes in parts of at most so many bytes of items, as they are sent, each going on
-// where the one before ends. An item that alone is larger is left out, and its part marked
-// incomplete.
-std::vector<SharedChanges> splitChanges(const SharedChanges &changes, std::size_t mostBytes);
+// Splits changes into consecutive parts with at most maxBytes of encoded items each. An item that
+// is larger by itself is omitted, and its part is marked incomplete.
+std::vector<SharedChanges> splitChanges(const SharedChanges &changes, std::size_t maxBytes);
 
-// Told what other instances say.
+// Receives the messages of other instances.
 class PeerLinkListener
 {
 public:
@@ -71,9 +71,9 @@
     virtual void onFailedForPeer(std::string_view engine, std::string_view peer) = 0;
     virtual void onLoadFromPeer(std::string_view engine, const EngineLoad &load) = 0;
     virtual void onStoreFromPeer(const SharedChanges &changes) = 0;
-    virtual void onFreshnessAsked(std::string_view peer, std::int64_t askedAt) = 0;
-    virtual void onFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                             std::uint64_t era, std::uint64_t revision) = 0;
+    virtual void onFreshnessQuery(std::string_view peer, std::int64_t requestedAt) = 0;
+    virtual void onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                                   std::uint64_t era, std::uint64_t revision) = 0;
     virtual void onLeavingFromPeer(std::string_view target) = 0;
     virtual void onColdFromPeer(std::string_view target, Duration left) = 0;
     virtual void onQuarantineNews(const QuarantineNews &news) = 0;
@@ -84,61 +84,62 @@
 class PeerLink final : public PeerTransport, public MembershipListener
 {
 public:
-    PeerLink(asio::io_context &loop, const Clock &time, PeerLinkSettings given, std::uint64_t seed,
-             EngineShares &shared, PeerLinkListener &told);
+    PeerLink(asio::io_context &loop, const Clock &time, PeerLinkSettings linkSettings,
+             std::uint64_t seed, EngineShares &engineShares, PeerLinkListener &linkListener);
 
     // Fails if the address cannot be bound.
     Result<void> open();
 
-    // Tells the other instances that give work to an engine of a generation that this one gave it.
+    // Announces a generation placed on an engine to the other instances that place work there.
     void announce(std::string_view engine, const GenerationNeed &need, bool copied);
 
-    // Tells them that a generation of this instance gave back memory. Such notices are sent
-    // together, some times a second.
+    // Announces that a generation of this instance released memory at an engine. These notices are
+    // batched and sent a few times a second.
     void announceReleased(std::string_view engine, std::uint32_t tokens);
 
-    // Tells them that an engine failed a generation or a question of this instance.
+    // Announces that an engine failed a generation or a load probe of this instance.
     void announceFailed(std::string_view engine);
 
-    // Tells them what an engine reported.
+    // Announces the load that an engine reported.
     void announce(std::string_view engine, const EngineLoad &load);
 
-    // Tells them that a target has said in an answer that it leaves.
+    // Announces that a target reported in an answer that it is shutting down.
     void announceLeaving(std::string_view target);
 
-    // Tells them that a target has said in an answer that it is cold.
+    // Announces that a target reported in an answer that it is cold.
     void announceCold(std::string_view target, Duration left);
 
-    // Tells all others, or some drawn by chance, of requests that end targets.
-    void tellAll(const QuarantineNews &news);
-    void tellSome(const QuarantineNews &news);
+    // Sends the state of requests that crash targets to all other instances, or to a random sample.
+    void broadcastQuarantine(const QuarantineNews &news);
+    void sendQuarantineToSample(const QuarantineNews &news);
 
-    // Tells one other, all, or some drawn by chance, of targets that name limits.
-    void tellLimits(std::string_view peer, const LimitNews &news);
-    void tellAllLimits(const LimitNews &news);
-    void tellSomeLimits(const LimitNews &news);
+    // Sends the state of targets with rate limits to one other instance, all, or a random sample.
+    void sendLimits(std::string_view peer, const LimitNews &news);
+    void broadcastLimits(const LimitNews &news);
+    void sendLimitsToSample(const LimitNews &news);
 
-    // Passes on what this instance read of the store, to readers too: each pauses after a change.
-    void shareStore(const SharedChanges &changes);
-    void askFreshness(std::string_view peer, std::int64_t askedAt);
-    void answerFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                         std::uint64_t era, std::uint64_t revision);
+    // Sends what this instance read from the store to all others. This includes the readers, since
+    // each pauses after a change.
+    void shareStoreChanges(const SharedChanges &changes);
+    void sendFreshnessQuery(std::string_view peer, std::int64_t requestedAt);
+    void sendFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                             std::uint64_t era, std::uint64_t revision);
 
-    // Tells the others that this instance is about to end.
+    // Announces that this instance is about to exit.
     void depart();
 
 private:
     void send(std::string_view address, std::string datagram) override;
     void onMembersChanged() override;
-    void takeMembers();
+    void updatePeers();
     void sendNow(std::string_view address, const std::string &datagram);
     void sendPaced();
     void onPeerHeard(const Member &, std::uint64_t, Duration, TimePoint) override {}
     void onPolicyMessage(std::string_view from, std::string_view message) override;
-    void tellPeers(wire::EntryNotices &message);
-    void tellDrawn(const wire::EntryNotices &message);
-    void tellSharers(std::string_view engine, wire::EntryNotices &message);
-    void passOn(std::string_view from, wire::EntryNotices &message);
+    void broadcast(wire::EntryNotices &message);
+    void sendToSample(const wire::EntryNotices &message);
+    void sendToAssignees(std::string_view engine, wire::EntryNotices &message);
+    void relayMessage(std::string_view from, wire::EntryNotices &message);
     void receiveNext();
     void tick();
     void sendReleases();
@@ -151,15 +152,16 @@
     asio::steady_timer timer;
     DatagramPacer pacer;
     asio::steady_timer paceTimer;
-    std::deque<std::pair<std::string, std::string>> paced; // addresses and datagrams that wait
+    std::deque<std::pair<std::string, std::string>> paced; // addresses and datagrams in the queue
     std::array<char, 8192> buffer{};
     Membership membership;
-    bool membersChanged = false; // since they were taken
+    bool membersChanged = false; // since the last update of peers
     NoticeSpread spread;
     std::mt19937_64 random;
-    std::vector<std::string> peers; // names of the others that are up
+    std::vector<std::string> peers; // names of the other live instances
     EngineShares &shares;
-    std::map<std::string, std::uint32_t, std::less<>> releases; // tokens, not told yet
+    std::map<std::string, std::uint32_t, std::less<>>
+            releases; // tokens by engine, not announced yet
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Proxy/readduty.h
+++ b/include/jaytrack/Proxy/readduty.h
@@ -1,10 +1,11 @@
-// Which instances read the store themselves.
+// Decides which instances read the store themselves.
 //
-// Load that it answers: calls to the store are priced and limited for all instances together. A few
-// readers do for calm times. In a bad hour of the store, of links or of the readers the knowledge
-// of all instances grows old at the same moment; if each then read for itself, 195 of them would
-// make 180 calls a second to a store that may be down. Some, drawn anew from time to time, find a
-// way as well as all would, and the rest hear of it from them.
+// Calls to the store are priced and rate-limited for all instances together. Normally a few readers
+// are enough. When the store, the network or the readers have problems, the data of all instances
+// becomes stale at the same time; if each then read the store itself, 195 instances would make 180
+// calls a second to a store that may be down. Instead, a few randomly chosen instances read, and
+// the choice is repeated periodically. They are as likely to reach the store as all would be, and
+// pass on what they read to the others.
 #ifndef JAYTRACK_PROXY_READDUTY_H
 #define JAYTRACK_PROXY_READDUTY_H
 
@@ -21,72 +22,75 @@
 
 struct ReadDutyOptions
 {
-    // Readers in the whole fleet. After a change each pauses before it asks again; three rarely
-    // pause all at once, and any two may be cut off.
+    // Readers in the whole fleet. Each pauses after a change before it reads again. Three rarely
+    // pause at the same time, and any two may be disconnected.
     std::size_t readers = 3;
 
-    // An instance whose knowledge was not confirmed for this long may read for itself. A reader
-    // whose questions nothing answers is confirmed every 1.2 s at most, as of the question's start,
-    // and asked every 0.3 s, so ages up to 2.7 s are no sign of trouble.
-    Duration mostAge = std::chrono::milliseconds(2800);
+    // An instance whose data was not confirmed for this long may read the store itself. While
+    // nothing changes, a reader is confirmed at least every 1.2 s, as of the start of its query,
+    // and is queried by the others every 0.3 s, so ages up to 2.7 s are normal.
+    Duration maxAge = std::chrono::milliseconds(2800);
 
-    // And goes on doing so for this long at least, so that it does not change its mind at each loss
-    // of a datagram. Whoever was not drawn is drawn again after it.
-    Duration readAtLeast = std::chrono::milliseconds(3000);
+    // Minimum time for which such an instance keeps reading, so that single lost datagrams do not
+    // make it switch back and forth. An instance that was not chosen draws again after this time.
+    Duration minReadTime = std::chrono::milliseconds(3000);
 
-    // Knowledge that is older than this shows that nobody reaches the store. Where the readers
-    // alone fail, those that are drawn after mostAge confirm it within half a second.
+    // Data older than this shows that no instance reaches the store. If only the readers fail, the
+    // instances chosen after maxAge confirm the data within half a second.
     Duration outageAge = std::chrono::milliseconds(4000);
 
-    // An instance that finds that others are readers reads on for this long: two questions of 0.3 s
-    // to one of them.
-    Duration handOverTime = std::chrono::milliseconds(600);
+    // An instance that is no longer a reader keeps reading for this long: the time of two queries,
+    // 0.3 s apart, to one of the new readers.
+    Duration handoverTime = std::chrono::milliseconds(600);
 
-    // Instances that read in a bad hour, beside the readers. If the store turns nine of ten away,
-    // one of sixteen is served in four draws of five.
-    std::size_t readersInTrouble = 16;
+    // Expected number of instances that read in addition to the readers while data is stale. If the
+    // store rejects nine of ten calls, at least one of sixteen is served in four draws of five.
+    std::size_t readersWhenStale = 16;
 
-    // An instance that has just started has listed the store, and waits this long to hear of others
-    // before it follows the store by itself: two to three calls at each start of each instance, and
-    // what it listed is young enough meanwhile.
-    Duration aloneAfter = std::chrono::milliseconds(1200);
+    // An instance that has just started and listed the store waits this long to discover other
+    // instances before it follows the store itself. This saves two to three calls at each start,
+    // and the listed data is recent enough meanwhile.
+    Duration peerDiscoveryTime = std::chrono::milliseconds(1200);
 
-    // An instance that no other answered for this long cannot be told and reads in any case.
-    Duration unansweredTime = std::chrono::milliseconds(1000);
+    // An instance that no other instance has answered for this long cannot receive updates and
+    // reads the store in any case.
+    Duration peerAnswerTimeout = std::chrono::milliseconds(1000);
 };
 
+// Tracks the peers and the freshness of the local data to decide whether this instance reads the
+// store.
 class ReadDuty
 {
 public:
-    ReadDuty(const Clock &time, std::string ownName, ReadDutyOptions given,
+    ReadDuty(const Clock &time, std::string ownName, ReadDutyOptions dutyOptions,
              std::mt19937_64 &source);
 
-    // The names of the other instances that are up.
+    // Sets the names of the other live instances.
     void setPeers(std::span<const std::string> others);
 
-    // Another instance answered a question of this one, its own knowledge being that old.
+    // Records that a peer answered a freshness query, with the age of its data.
     void answered(std::string_view peer, Duration age);
 
-    // Whether this instance reads now, its knowledge being that old.
+    // Whether this instance reads the store now, given the age of its data.
     bool reads(Duration age);
 
     bool isReader() const { return this->reader; }
 
-    // Whether this instance tells the others what it reads: the readers do, and in a bad hour those
-    // that were drawn, since the readers may be the ones that are cut off.
-    bool passesOn() const { return this->reader || this->clock.now() < this->drawnUntil; }
+    // Whether this instance sends what it reads to the others. The readers do, and so do instances
+    // chosen while data was stale, since the readers may be the ones that are disconnected.
+    bool sharesReads() const { return this->reader || this->clock.now() < this->chosenUntil; }
 
-    // Whether knowledge of this age means that nobody reaches the store.
+    // Whether data of this age means that no instance reaches the store.
     bool showsOutage(Duration age) const { return age > this->options.outageAge; }
 
-    // Whom to ask how old this instance's knowledge is, that of this age; empty if there is nobody.
-    // Whoever last knew it well is asked again: a reader that the store turns away answers too.
-    // While knowledge grows old any instance is asked by turns with the readers: one of those that
-    // were drawn may know more.
+    // Returns the peer to query for freshness, given the age of the local data; empty if there is
+    // none. The reader that last had recent data is preferred, because a reader that the store
+    // rejects also answers queries. While data is becoming old, readers and arbitrary peers are
+    // queried alternately, because a randomly chosen instance may have newer data.
     std::string whomToAsk(Duration age);
 
 private:
-    bool isDrawn();
+    bool drawsToRead();
     bool awaitsPeers() const;
     bool isOld(Duration age) const;
 
@@ -97,13 +101,13 @@
     std::vector<std::string> peers;
     std::vector<std::string> readers; // without this instance
     bool reader = true;
-    bool askAnybody = false;
+    bool queryAnyPeer = false;
     TimePoint startedAt;
     TimePoint readUntil;
-    TimePoint drawnUntil;
+    TimePoint chosenUntil;
     TimePoint nextDraw;
     TimePoint answeredAt;
-    std::string lastGood; // reader that answered last with knowledge that was not old
+    std::string lastFreshReader; // the last reader that answered with recent data
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Proxy/selfreports.h
+++ b/include/jaytrack/Proxy/selfreports.h
@@ -1,8 +1,8 @@
-// What targets tell of themselves in their answers, beside the answer to what they were asked.
+// Reads the state that targets report about themselves in the headers of their answers.
 //
-// Load that it answers: hours in which the store is away, slow or serves others. Its entries say
-// "ready" of targets that have long said otherwise to everybody who asked them something. The
-// target's own word is the newest there is, so each answer is read for it, whatever it answers.
+// While the store is unavailable, slow or serving others, its entries still list targets as ready
+// that have reported otherwise to everyone who sent them a request. A target's own report is the
+// most recent information, so every answer is checked for one, whatever request it answers.
 #ifndef JAYTRACK_PROXY_SELFREPORTS_H
 #define JAYTRACK_PROXY_SELFREPORTS_H
 
@@ -14,8 +14,8 @@
 
 namespace jaytrack {
 
-// Tells the other instances what a target said of itself, since each may get its next answer much
-// later.
+// Announces a target's report to the other instances, since each of them may receive its next
+// answer from the target much later.
 class SelfReportNotices
 {
 public:
@@ -24,32 +24,34 @@
     virtual void announceCold(std::string_view target, Duration left) = 0;
 };
 
+// Applies the reports in the answers of targets to the directory, pauses, cold targets and limits.
 class SelfReports
 {
 public:
-    SelfReports(const Dialect &words, TargetDirectory &targets, TargetPauses &rests,
-                ColdTargets &coldOnes, LimitGate &gate, SelfReportNotices &others)
-        : dialect(words)
+    SelfReports(const Dialect &platform, TargetDirectory &targets, TargetPauses &targetPauses,
+                ColdTargets &coldTargets, LimitGate &gate, SelfReportNotices &announcer)
+        : dialect(platform)
         , directory(targets)
-        , pauses(rests)
-        , cold(coldOnes)
+        , pauses(targetPauses)
+        , cold(coldTargets)
         , limits(gate)
-        , notices(others)
+        , notices(announcer)
     {
     }
 
-    // The head of an answer of this life of a target to a question of this instance's own. May lead
-    // to calls of onTargetLeaving().
-    void hear(std::string_view target, const MessageHead &answer);
+    // Records the head of a target's answer to a request of this instance's own, such as a load
+    // probe. The answer must come from the current incarnation of the target. May cause calls of
+    // onTargetLeaving().
+    void recordAnswer(std::string_view target, const MessageHead &answer);
 
-    // The same of an answer to a caller's request, which was sent so long ago.
-    void hearServed(std::string_view target, const MessageHead &answer, Duration sentAgo);
+    // Records the head of an answer to a caller's request that was sent sentAgo ago.
+    void recordServedAnswer(std::string_view target, const MessageHead &answer, Duration sentAgo);
 
-    // Whether the target wants nothing of this instance now.
-    bool wantsRest(std::string_view target) const { return this->pauses.isPaused(target); }
+    // Whether the target has asked for a pause that has not ended yet.
+    bool isTargetPaused(std::string_view target) const { return this->pauses.isPaused(target); }
 
 private:
-    void hearFacts(std::string_view target, const AnswerFacts &said);
+    void recordFacts(std::string_view target, const AnswerFacts &facts);
 
     const Dialect &dialect;
     TargetDirectory &directory;
--- a/include/jaytrack/Proxy/startupqueue.h
+++ b/include/jaytrack/Proxy/startupqueue.h
@@ -1,8 +1,8 @@
-// Requests that reach an instance which has just started and knows no configuration yet.
+// Queues requests that reach an instance which has just started and has no configuration yet.
 //
-// Load that it answers: a fleet that was killed and starts again within a second. The balancer
-// still takes each instance for ready, an instance lists its targets within some tenths of a
-// second, and whoever is refused meanwhile comes back to another one that is no further.
+// When a fleet is killed and restarts within a second, the load balancer still considers each
+// instance ready. An instance lists its targets within a few tenths of a second, and a caller that
+// is refused meanwhile would only retry at another instance that is not ready either.
 #ifndef JAYTRACK_PROXY_STARTUPQUEUE_H
 #define JAYTRACK_PROXY_STARTUPQUEUE_H
 
@@ -19,14 +19,15 @@
 
 struct StartupQueueOptions
 {
-    // After this the store is not to be had, and nothing is gained by waiting.
-    Duration waitsAfterStart = std::chrono::milliseconds(1000);
+    // After this time since the start the store is considered unavailable, so requests no longer
+    // wait.
+    Duration maxWaitAfterStart = std::chrono::milliseconds(1000);
 
-    // The part of its caller's time that a request waits at most: a short one is served sooner by
-    // another instance, if only this one has started.
-    double partOfTime = 1.0 / 6;
+    // Maximum fraction of the caller's time limit that a request waits. If only this instance has
+    // just started, a request with a short time limit is served sooner by another one.
+    double maxTimeFraction = 1.0 / 6;
 
-    std::size_t mostRequests = 256;
+    std::size_t maxRequests = 256;
 };
 
 class StartupQueue
@@ -34,17 +35,18 @@
 public:
     using Serve = std::function<void(std::shared_ptr<CallerConnection>, CallerRequest)>;
 
-    // Served is whatever waited, once the instance knows enough or will not in time.
-    StartupQueue(asio::io_context &loop, const Clock &time, std::function<bool()> knowsEnough,
-                 Serve served, StartupQueueOptions given = {});
+    // served is called for each queued request once the instance has its configuration and targets,
+    // or the wait of the request has expired.
+    StartupQueue(asio::io_context &loop, const Clock &time, std::function<bool()> hasInitialData,
+                 Serve served, StartupQueueOptions queueOptions = {});
 
-    // Whether a request whose caller gives it so long may wait now.
-    bool mayWait(std::optional<std::chrono::milliseconds> callersTime) const;
+    // Whether a request with this time limit of its caller may wait now.
+    bool canWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const;
 
     void add(std::shared_ptr<CallerConnection> connection, CallerRequest request,
-             std::optional<std::chrono::milliseconds> callersTime);
+             std::optional<std::chrono::milliseconds> callerTimeLimit);
 
-    // Serves or refuses all that wait, since the instance stops.
+    // Passes all queued requests on at once, to be served or refused; used when the instance stops.
     void release();
 
 private:
@@ -55,9 +57,9 @@
         TimePoint until;
     };
 
-    Duration longestWait(std::optional<std::chrono::milliseconds> callersTime) const;
-    void look();
-    void lookAgain();
+    Duration maxWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const;
+    void check();
+    void scheduleCheck();
 
     const Clock &clock;
     std::function<bool()> isKnown;
--- a/include/jaytrack/Proxy/storefeeds.h
+++ b/include/jaytrack/Proxy/storefeeds.h
@@ -1,4 +1,4 @@
-// What an instance believes of configuration and targets, fed from the store.
+// Applies what is read from the store to the configuration and the target directory of an instance.
 #ifndef JAYTRACK_PROXY_STOREFEEDS_H
 #define JAYTRACK_PROXY_STOREFEEDS_H
 
@@ -14,13 +14,13 @@
 
 class Metrics;
 
-// The configuration in force and how lately it was confirmed.
+// Holds the configuration in force and the time as of which it was last confirmed.
 class ConfigurationFeed final : public StoreFollowerListener
 {
 public:
-    ConfigurationFeed(const Clock &time, const Dialect &words)
+    ConfigurationFeed(const Clock &time, const Dialect &platform)
         : clock(time)
-        , dialect(words)
+        , dialect(platform)
     {
     }
 
@@ -31,34 +31,35 @@
     void onStoreRegained(Duration away) override;
     void onStoreReturned() override;
 
-    // The table in force was the newest at this moment.
+    // Records that the table in force was the newest at asOf.
     void confirm(TimePoint asOf);
 
-    // Null while none is known.
-    std::shared_ptr<const RoutingTable> table() const { return this->inForce; }
+    // Returns the table in force; null while there is none.
+    std::shared_ptr<const RoutingTable> table() const { return this->activeTable; }
 
     TimePoint confirmedAsOf() const { return this->confirmedAt; }
 
-    // Since the moment for which the table is known to have been the newest.
+    // Time since the moment at which the table is known to have been the newest.
     Duration age() const { return this->clock.now() - this->confirmedAt; }
 
 private:
-    void take(const StoreItem &item);
+    void applyItem(const StoreItem &item);
 
     const Clock &clock;
     const Dialect &dialect;
-    std::shared_ptr<const RoutingTable> inForce;
+    std::shared_ptr<const RoutingTable> activeTable;
     TimePoint confirmedAt;
-    TimePoint unsureFrom; // until then the store may lack a newer table that it had acknowledged
-    TimePoint unsureUntil;
+    // Between these times the store may lack a newer table that it had acknowledged.
+    TimePoint uncertainFrom;
+    TimePoint uncertainUntil;
 };
 
-// The platform's list of targets, and which data centres are out of use.
+// Maintains the target directory, including which data centres are out of use.
 class TargetFeed final : public StoreFollowerListener
 {
 public:
-    TargetFeed(asio::io_context &loop, const Clock &time, const Dialect &words, Metrics &counted,
-               TargetDirectory &filled);
+    TargetFeed(asio::io_context &loop, const Clock &time, const Dialect &platform,
+               Metrics &counters, TargetDirectory &targetDirectory);
 
     void onListing(const std::vector<StoreItem> &items, TimePoint asOf) override;
     void onChanges(const std::vector<StoreItem> &items, TimePoint asOf) override;
@@ -67,12 +68,13 @@
     void onStoreRegained(Duration away) override;
     void onStoreReturned() override;
 
-    // As of when this instance's knowledge was last confirmed, by itself or by another instance,
-    // and whether that is too long ago. Then the store counts as away: an instance that others tell
-    // asks nothing of it and would take entries that lapsed during an outage for gone.
+    // Records the time as of which the data was last confirmed, by this or another instance, and
+    // whether that is too long ago. If so, the store is considered unavailable. An instance that
+    // gets its updates from others makes no calls that would show this, and would remove entries
+    // that only expired during an outage.
     void noteKnowledge(TimePoint confirmedAsOf, bool tooOld);
 
-    // While targets whose entries lapsed during an outage are still coming back.
+    // Whether targets whose entries expired during an outage may still be restored.
     bool inGrace() const { return this->tooOld || this->graceRunning; }
 
     bool isLoaded() const { return this->loaded; }
@@ -82,11 +84,11 @@
     void apply(const std::vector<StoreItem> &items, bool keepMissing);
     bool isTarget(const StoreItem &item) const;
 
-    // What an item says of the use of a data centre; nothing if it is about something else.
-    std::optional<DataCentreRecord> useOf(const StoreItem &item) const;
+    // Decodes a data-centre-out-of-use record; empty if the item is something else.
+    std::optional<DataCentreRecord> decodeOutOfUse(const StoreItem &item) const;
     std::string nameOf(std::string_view key) const;
 
-    // The target that an item names; nothing, after a line in the log, if it names none.
+    // Decodes a target entry; logs the error and returns nothing if the entry is unusable.
     std::optional<TargetEntry> decode(const StoreItem &item);
     void reportUnusable(std::string_view key, std::string_view detail);
 
@@ -94,26 +96,26 @@
     const Dialect &dialect;
     Metrics &metrics;
     TargetDirectory &directory;
-    LogAllowance reports; // of unusable entries
+    LogAllowance reports; // rate limit of log lines about unusable entries
     asio::steady_timer graceTimer;
     bool loaded = false;
-    bool lost = false; // by this instance's own calls
+    bool lost = false; // according to this instance's own calls
     TimePoint lostAt;
     TimePoint confirmedAsOf;
     bool tooOld = false;
     bool graceRunning = false;
-    TimePoint rewrittenBy; // when what the store's older copy lacked will have been written again
+    TimePoint rewriteDeadline; // time by which entries missing from a restored older copy have been
+                               // rewritten
 };
 
-// Hands what one follower of the whole store reads to both feeds. One question that waits for
-// either kind of change costs half the calls, and each change of a target confirms the
-// configuration too.
+// Forwards what one follower of the whole store reads to both feeds. A single watch for both kinds
+// of change costs half the calls, and each change of a target also confirms the configuration.
 class StoreFeeds final : public StoreFollowerListener
 {
 public:
-    StoreFeeds(ConfigurationFeed &first, TargetFeed &second)
-        : configuration(first)
-        , targets(second)
+    StoreFeeds(ConfigurationFeed &configurationFeed, TargetFeed &targetFeed)
+        : configuration(configurationFeed)
+        , targets(targetFeed)
     {
     }
 
--- a/include/jaytrack/Proxy/storefollower.h
+++ b/include/jaytrack/Proxy/storefollower.h
@@ -1,5 +1,5 @@
-// Keeps up with one part of the platform's store: reads it whole, then follows its changes, and
-// reads it whole again whenever a change may have been missed.
+// Follows one part of the platform's store: lists it completely, then watches for changes, and
+// lists it again whenever a change may have been missed.
 #ifndef JAYTRACK_PROXY_STOREFOLLOWER_H
 #define JAYTRACK_PROXY_STOREFOLLOWER_H
 
@@ -18,82 +18,83 @@
 
 namespace jaytrack {
 
-// What a follower tells. The moment that goes with it is when the question was sent, so the state
-// that it describes is at least as new as that.
+// Receives what a follower reads. asOf is the time at which the query was sent, so the data is at
+// least as recent as that.
 class StoreFollowerListener
 {
 public:
     virtual ~StoreFollowerListener() = default;
 
-    // Everything under the prefix, all pages together.
+    // All items under the prefix, from all pages.
     virtual void onListing(const std::vector<StoreItem> &items, TimePoint asOf) = 0;
 
-    // What changed since; nothing, if the wait ended without a change. An empty answer that came
-    // before the wait was over confirms nothing and is not told.
+    // Changes since the last call; empty if the wait ended without a change. An empty answer that
+    // arrived before the end of the wait confirms nothing and is not reported.
     virtual void onChanges(const std::vector<StoreItem> &items, TimePoint asOf) = 0;
 
-    // What another instance read. After an outage removals may be of entries that come back.
+    // Changes read by another instance. If afterOutage is set, removed entries may be restored.
     virtual void onSharedChanges(const std::vector<StoreItem> &items, bool afterOutage) = 0;
 
     virtual void onStoreLost(std::string_view reason) = 0;
     virtual void onStoreRegained(Duration away) = 0;
 
-    // The store came back from an older copy. What it had acknowledged since is not in it until it
-    // is written again; the next listing is of the new history.
+    // The store was restored from an older copy. Changes acknowledged after that copy was made are
+    // missing until they are written again; the next listing belongs to the new history.
     virtual void onStoreReturned() = 0;
 };
 
-// Told what this instance itself read, so that it can be passed on.
+// Receives what this instance itself read, to send it to the others.
 class StoreReadListener
 {
 public:
     virtual ~StoreReadListener() = default;
 
-    // Everything that changed after one revision up to another. From a listing nothing is passed
-    // on; then both revisions are the same.
+    // All changes after revision from, up to and including revision to. A listing is not shared:
+    // items is empty and both revisions are the same.
     virtual void onStoreRead(std::uint64_t from, std::uint64_t to,
                              const std::vector<StoreItem> &items) = 0;
 };
 
 struct StoreFollowerOptions
 {
-    std::string prefix; // what is followed; empty for everything
+    std::string prefix; // key prefix to follow; empty for everything
     asio::ip::tcp::endpoint store;
 
-    // How long the store may hold a question that nothing answers. A silent connection is noticed
-    // after it, and a confirmation is at most twice this old in calm times. Longer than a second,
-    // since a store that loses its history first leaves watches deaf for as long: an empty answer
-    // to a shorter question could hide a change.
+    // How long the store may hold a watch without a change. A dead connection is detected after
+    // this time, and normally a confirmation is at most twice this old. The wait is longer than one
+    // second because a store that loses its history first stops reporting changes to watches for
+    // that long: an empty answer to a shorter watch could hide a change.
     std::chrono::milliseconds wait{1050};
 
-    // Drawn anew for each question and added to it: one change wakes the questions of all
-    // instances, and without this all would be confirmed, and grow old, in step.
+    // Maximum random addition to each wait. A change ends the watches of all instances at once;
+    // without jitter, the data of all instances would be confirmed and become old at the same time.
     std::chrono::milliseconds waitJitter{150};
 
-    // How long a change that another instance knows may be on its way here. Notices of several
-    // readers overtake each other by milliseconds, and each makes up for the other's losses.
-    std::chrono::milliseconds patience{150};
-
-    // And so much longer for each instance, up to the most: a configuration is passed on no faster
-    // than slow links carry it, 0.3 s for a fleet of 195. 0.5 s is an eighth of the time that a
-    // change may take there.
-    std::chrono::milliseconds patiencePerInstance{2};
-    std::chrono::milliseconds mostPatience{500};
-
-    // The longest pause between failed calls. Short, so that keys are confirmed well within their
-    // bound; longer for an instance that others can tell, since the calls of a whole fleet to a
-    // store in trouble are priced and help nobody.
-    std::chrono::milliseconds mostBackoff{250};
-    std::chrono::milliseconds mostBackoffIfTold{1500};
-
-    // After a return from an older copy every instance has to list the store again, since what
-    // others pass on says nothing of what is gone. Those that others tell do so one after another,
-    // a hundred calls a second at most, and use what they know meanwhile.
-    std::chrono::milliseconds relistPerInstance{10};
-    std::chrono::milliseconds mostRelist{2000};
-
-    // Pause after an answer with changes. Calls are priced and counted against the store's rate,
-    // while several changes fit into one answer.
+    // How long to wait for a change that another instance already has. Notices from several readers
+    // arrive within milliseconds of each other, and each compensates for losses of the others.
+    std::chrono::milliseconds sharedChangeWait{150};
+
+    // Addition to that wait per instance, and its upper bound. Slow links limit how fast a
+    // configuration spreads: 0.3 s for a fleet of 195. 0.5 s is an eighth of the time allowed for a
+    // change there.
+    std::chrono::milliseconds sharedChangeWaitPerInstance{2};
+    std::chrono::milliseconds maxSharedChangeWait{500};
+
+    // Maximum back-off between failed calls. It is short so that keys are confirmed well within
+    // their bound. It is longer for an instance that gets updates from others, since calls of a
+    // whole fleet to a failing store are priced and useless.
+    std::chrono::milliseconds maxBackoff{250};
+    std::chrono::milliseconds maxBackoffWithUpdates{1500};
+
+    // After the store was restored from an older copy, every instance must list it again, since
+    // changes passed on by others do not show which entries are gone. Instances that get updates
+    // from others spread their listings to at most a hundred calls a second and use their current
+    // data meanwhile.
+    std::chrono::milliseconds relistDelayPerInstance{10};
+    std::chrono::milliseconds maxRelistDelay{2000};
+
+    // Pause after an answer with changes. Calls are priced and count towards the store's rate
+    // limit, while one answer can hold several changes.
     std::chrono::milliseconds gap{0};
 };
 
@@ -101,59 +102,59 @@
                             public std::enable_shared_from_this<StoreFollower>
 {
 public:
-    StoreFollower(asio::io_context &loop, const Clock &time, const Dialect &words,
-                  StoreFollowerOptions given, std::uint64_t seed, StoreFollowerListener &to,
-                  StoreReadListener &readBy);
+    StoreFollower(asio::io_context &loop, const Clock &time, const Dialect &platform,
+                  StoreFollowerOptions followerOptions, std::uint64_t seed,
+                  StoreFollowerListener &followerListener, StoreReadListener &readListener);
 
     void start();
     void stop();
 
-    // An inactive follower asks nothing by itself and lives on what applyShared() brings.
+    // An inactive follower makes no calls of its own and relies on applyShared().
     void setActive(bool wanted);
 
-    // Whether other instances read the store and tell this one.
-    void setTold(bool byOthers) { this->told = byOthers; }
+    // Whether other instances read the store and send updates to this one.
+    void setTold(bool byOthers) { this->receivesUpdates = byOthers; }
 
-    // How many instances there are, this one among them.
+    // Sets the number of instances, including this one.
     void setInstances(std::size_t count);
 
-    // Takes what another instance read. If a change in between is missing or was left out, the
-    // store is asked once.
+    // Applies what another instance read. If a change in between is missing or was left out,
+    // queries the store once.
     void applyShared(std::uint64_t from, std::uint64_t to, const std::vector<StoreItem> &items,
                      bool incomplete, bool afterOutage = false);
 
-    // Another instance knows this revision. If nobody passes it on within a moment, the store is
-    // asked.
+    // Records that another instance has this revision. If it is not received from others within the
+    // wait for shared changes, the store is queried.
     void catchUp(std::uint64_t to);
 
-    // Another instance speaks of this history of the store. Returns false if it is an older one, of
-    // which nothing holds any more; a newer one makes this instance list the store again. 0 is told
-    // by one that knows no number.
-    bool hearEra(std::uint64_t heard);
+    // Records the store history (era) that another instance refers to. Returns false if it is older
+    // than the known one, so that its data is no longer valid. A newer era makes this instance list
+    // the store again. 0 means that the other instance does not know the number.
+    bool hearEra(std::uint64_t announced);
 
-    // The history that the known revision belongs to; 0 if the store tells none.
+    // The history to which the known revision belongs; 0 if the store reports none.
     std::uint64_t knownEra() const { return this->era; }
 
-    // To be called some times a second.
+    // Must be called a few times a second.
     void tick();
 
-    // The newest revision of which everything is known; 0 before the first listing.
+    // The revision up to which all changes are known; 0 before the first listing.
     std::uint64_t knownRevision() const { return this->listing ? 0 : this->revision; }
 
 private:
-    void ask();
+    void query();
     bool belongsToKnownEra();
     void enterEra(std::uint64_t next, std::string_view source, std::chrono::milliseconds pause);
-    void catchUpNow(std::string_view cause);
-    void askLater(std::chrono::milliseconds delay);
+    void queryMissing(std::string_view cause);
+    void queryAfter(std::chrono::milliseconds delay);
     void onAnswerHead(MessageHead head) override;
     void onAnswerBody(std::string_view bytes) override;
     void onCallEnd(const TargetCallEnd &end) override;
     void onTimeout();
     void failed(std::string_view reason);
     void succeeded();
-    void takePage();
-    void takeChanges();
+    void applyPage();
+    void applyChanges();
 
     asio::io_context &context;
     asio::steady_timer timer;
@@ -164,15 +165,15 @@
     StoreFollowerListener &listener;
     StoreReadListener &reads;
     std::shared_ptr<TargetCall> call;
-    TimePoint askedAt;
-    std::chrono::milliseconds askedWait{0};
-    TimePoint listingAskedAt;
+    TimePoint querySentAt;
+    std::chrono::milliseconds requestedWait{0};
+    TimePoint listingStartedAt;
     TimePoint lastAnswer;
     int status = 0;
     std::optional<std::uint64_t> answerEra;
     std::string body;
     std::uint64_t era = 0;
-    TimePoint eraSince; // when it was learnt here
+    TimePoint eraSince; // when this instance learnt of it
     std::size_t instances = 1;
     bool listing = true;
     std::string pageAfter;
@@ -182,11 +183,11 @@
     bool lost = false;
     bool stopped = false;
     bool active = true;
-    bool told = false;
-    std::chrono::milliseconds patience;
-    std::uint64_t heardOf = 0; // the newest revision that another instance said it knows
+    bool receivesUpdates = false;
+    std::chrono::milliseconds sharedChangeWait;
+    std::uint64_t announcedRevision = 0; // newest revision reported by another instance
     TimePoint behindSince;
-    bool waiting = false; // a call is under way or planned
+    bool waiting = false; // a call is in progress or scheduled
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Proxy/storesharing.h
+++ b/include/jaytrack/Proxy/storesharing.h
@@ -1,6 +1,6 @@
-// How the instances that do not read the store know that what they were told is still the
-// newest. Those that read pass on what changes; every other instance asks one of them, some times a
-// second, how old its knowledge is. ReadDuty decides who reads.
+// Keeps instances that do not read the store up to date. Instances that read send changes to the
+// others; every other instance queries one of them a few times a second for the age of its data, to
+// confirm that its own data is still current. ReadDuty decides which instances read.
 #ifndef JAYTRACK_PROXY_STORESHARING_H
 #define JAYTRACK_PROXY_STORESHARING_H
 
@@ -19,14 +19,15 @@
 class StoreSharing final : public StoreReadListener
 {
 public:
-    // How often an instance that does not read asks one that does.
-    static constexpr std::chrono::milliseconds askGap{300};
+    // Interval at which an instance that does not read queries one that does.
+    static constexpr std::chrono::milliseconds queryInterval{300};
 
-    StoreSharing(const Clock &time, std::string ownName, ReadDutyOptions given,
-                 std::mt19937_64 &source, ConfigurationFeed &confirmed, TargetFeed &listed);
+    StoreSharing(const Clock &time, std::string ownName, ReadDutyOptions dutyOptions,
+                 std::mt19937_64 &source, ConfigurationFeed &configurationFeed,
+                 TargetFeed &targetFeed);
 
-    // Both are set once, before the first tick.
-    void attach(PeerLink &others, std::shared_ptr<StoreFollower> follows);
+    // Sets the peers and the follower; called once, before the first tick.
+    void attach(PeerLink &peerLink, std::shared_ptr<StoreFollower> storeFollower);
 
     void tick();
 
@@ -34,12 +35,12 @@
                      const std::vector<StoreItem> &items) override;
     void onPeersChanged(const std::vector<std::string> &names);
     void onStoreFromPeer(const SharedChanges &changes);
-    void onFreshnessAsked(std::string_view peer, std::int64_t askedAt);
-    void onFreshness(std::string_view peer, std::int64_t askedAt, Duration age, std::uint64_t era,
-                     std::uint64_t revision);
+    void onFreshnessQuery(std::string_view peer, std::int64_t requestedAt);
+    void onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                           std::uint64_t era, std::uint64_t revision);
 
 private:
-    void askForFreshness(Duration age);
+    void queryFreshness(Duration age);
 
     const Clock &clock;
     ReadDuty duty;
@@ -48,7 +49,7 @@
     PeerLink *peers = nullptr;
     std::shared_ptr<StoreFollower> follower;
     bool reading = true;
-    TimePoint nextAsk;
+    TimePoint nextQuery;
 };
 
 } // namespace jaytrack
--- a/lib/Proxy/datagrampacer.cpp
+++ b/lib/Proxy/datagrampacer.cpp
@@ -14,7 +14,7 @@
     this->countedAt = now;
     this->allowance = std::min(this->options.burstBytes,
                                this->allowance + passed * this->options.bytesPerSecond);
-    // One that is larger than a whole burst leaves when the burst is full.
+    // A datagram larger than a whole burst is sent when the bucket is full.
     const double needed = std::min(static_cast<double>(bytes), this->options.burstBytes);
     if (this->allowance < needed)
         return false;
--- a/lib/Proxy/entryinstance.cpp
+++ b/lib/Proxy/entryinstance.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// A key is refused this long before its bound ends, for a process that is held up between its
-// decision and the request's leaving.
-constexpr std::chrono::milliseconds keyMargin{500};
+// Keys are refused this long before the limit of their freshness, in case the process is delayed
+// between its decision and sending the request.
+constexpr std::chrono::milliseconds keyFreshnessMargin{500};
 
-// Lines about single targets that become known; a first listing may hold thousands.
-constexpr std::size_t mostListedLines = 40;
-constexpr std::chrono::seconds listedSpan{1};
+// Limits log lines about newly listed targets; the first listing may contain thousands.
+constexpr std::size_t maxListingLines = 40;
+constexpr std::chrono::seconds listingLogPeriod{1};
 
-// The instances beside this one that the settings name.
-std::size_t namedOthers(const EntrySettings &settings)
+// Returns the number of other instances named in the settings.
+std::size_t configuredPeerCount(const EntrySettings &settings)
 {
     const auto others =
             std::count_if(settings.peerSeeds.begin(), settings.peerSeeds.end(),
@@ -27,38 +27,40 @@
 
 } // namespace
 
-EntryInstance::Parts::Parts(const EntrySettings &given, const Clock &time, const Dialect &words)
-    : settings(given)
+EntryInstance::Parts::Parts(const EntrySettings &entrySettings, const Clock &time,
+                            const Dialect &platform)
+    : settings(entrySettings)
     , clock(time)
-    , dialect(words)
-    , desk(*this)
+    , dialect(platform)
+    , serviceEndpoint(*this)
     , random(std::random_device{}())
-    , listedLines(time, mostListedLines, listedSpan)
+    , listingLogAllowance(time, maxListingLines, listingLogPeriod)
     , directory(*this)
     , health(time, this->random())
-    , engines(time, this->random(), given.dataCentre, given.tuning.engines)
-    , shares(given.name)
-    , retries(time, {given.retryRatio, given.retryWindow, given.retrySlack})
-    , configuration(time, words)
-    , targets(this->loop, time, words, this->metrics, this->directory)
+    , engines(time, this->random(), entrySettings.dataCentre, entrySettings.tuning.engines)
+    , shares(entrySettings.name)
+    , retries(time, {entrySettings.retryRatio, entrySettings.retryWindow, entrySettings.retrySlack})
+    , configuration(time, platform)
+    , targets(this->loop, time, platform, this->metrics, this->directory)
     , feeds(this->configuration, this->targets)
-    , sharing(time, given.name, given.tuning.sharing, this->random, this->configuration,
-              this->targets)
+    , sharing(time, entrySettings.name, entrySettings.tuning.sharing, this->random,
+              this->configuration, this->targets)
     , pauses(time)
-    , cold(time, given.name, given.coldBound, namedOthers(given) > 0)
-    , limitGate(this->loop, time, given.name, namedOthers(given), this->random(), *this,
-                this->metrics)
-    , selfReports(words, this->directory, this->pauses, this->cold, this->limitGate, *this)
-    , prober(this->loop, time, words, this->engines, *this, this->selfReports, this->limitGate,
-             this->random, given.tuning.probeGap)
+    , cold(time, entrySettings.name, entrySettings.coldBound,
+           configuredPeerCount(entrySettings) > 0)
+    , limitGate(this->loop, time, entrySettings.name, configuredPeerCount(entrySettings),
+                this->random(), *this, this->metrics)
+    , selfReports(platform, this->directory, this->pauses, this->cold, this->limitGate, *this)
+    , prober(this->loop, time, platform, this->engines, *this, this->selfReports, this->limitGate,
+             this->random, entrySettings.tuning.probeInterval)
     , crashes(this->loop, time, this->metrics, *this, *this)
     , startup(
-              this->loop, time, [this] { return this->knowsEnough(); },
+              this->loop, time, [this] { return this->hasInitialData(); },
               [this](std::shared_ptr<CallerConnection> connection, CallerRequest request) {
                   this->serve(std::move(connection), std::move(request));
               })
     , context{this->loop,      time,
-              words,           this->metrics,
+              platform,        this->metrics,
               this->directory, this->health,
               this->engines,   this->shares,
               this->retries,   this->settings.regions,
@@ -68,8 +70,8 @@
               this->limitGate, this->settings.tuning.streams,
               this->open}
     , callers(this->loop, time, *this)
-    , readiness(this->loop, time, this->desk)
-    , metricsServer(this->loop, time, this->desk)
+    , readiness(this->loop, time, this->serviceEndpoint)
+    , metricsServer(this->loop, time, this->serviceEndpoint)
     , signals(this->loop)
     , timer(this->loop)
 {
@@ -78,7 +80,7 @@
 
 void EntryInstance::Parts::applyBounds()
 {
-    this->bounds.keyFreshness = std::max<Duration>(this->settings.keyFreshness - keyMargin,
+    this->bounds.keyFreshness = std::max<Duration>(this->settings.keyFreshness - keyFreshnessMargin,
                                                    this->settings.keyFreshness / 2);
     this->bounds.denialFreshness = this->settings.configurationDelay;
 }
@@ -121,7 +123,7 @@
         return store.error();
     StoreFollowerOptions everything;
     everything.store = store.value();
-    everything.gap = this->settings.tuning.storeGap;
+    everything.gap = this->settings.tuning.storeReadInterval;
     this->follower =
             std::make_shared<StoreFollower>(this->loop, this->clock, this->dialect, everything,
                                             this->random(), this->feeds, this->sharing);
@@ -133,7 +135,7 @@
 
 bool EntryInstance::Parts::isReady() const
 {
-    return !this->isStopping && this->knowsEnough() &&
+    return !this->isStopping && this->hasInitialData() &&
            this->configuration.age() <= this->bounds.keyFreshness;
 }
 
@@ -145,7 +147,7 @@
 
 EntryInstance::~EntryInstance()
 {
-    // What is open holds references to the parts, so it goes first.
+    // Open exchanges hold references to the parts, so they are released first.
     const auto open = this->parts->open;
     this->parts->open.clear();
 }
--- a/lib/Proxy/entrylife.cpp
+++ b/lib/Proxy/entrylife.cpp
@@ -1,4 +1,4 @@
-// How an entry instance runs: its signals, its settings, its ticks, and its end.
+// Lifecycle of an entry instance: signals, settings reload, ticks, and graceful shutdown.
 #include "entryparts.h"
 
 #include "jaytrack/Support/log.h"
@@ -11,15 +11,15 @@
 
 namespace {
 
-// How long a stopping instance goes on taking connections: the balancer asks once a second and
-// takes an instance out after two refusals.
-constexpr std::chrono::milliseconds takeConnectionsFor{3000};
+// Time for which a stopping instance still accepts connections. The load balancer checks readiness
+// once a second and removes an instance after two failed checks.
+constexpr std::chrono::milliseconds acceptTimeAfterStop{3000};
 
-// Between the last answers and the end of the grace, at which the process is killed: two ticks, and
-// a third for one that is held up.
-constexpr std::chrono::milliseconds endMargin{300};
+// Margin between the last answers and the end of the grace period, when the process is killed: two
+// ticks, and a third in case one is delayed.
+constexpr std::chrono::milliseconds exitMargin{300};
 
-constexpr std::chrono::milliseconds tickGap{100};
+constexpr std::chrono::milliseconds tickInterval{100};
 constexpr int ticksPerFileCheck = 10;
 
 std::string readWhole(const std::string &file)
@@ -30,9 +30,9 @@
 
 } // namespace
 
-TimePoint EntryInstance::Parts::forcedEnd() const
+TimePoint EntryInstance::Parts::forcedExitTime() const
 {
-    return this->stopBegan + this->settings.drainGrace - endMargin;
+    return this->stopBegan + this->settings.drainGrace - exitMargin;
 }
 
 void EntryInstance::Parts::waitForSignal()
@@ -45,7 +45,7 @@
         else if (!this->isStopping)
             this->beginStop();
         else if (signal == SIGINT)
-            return this->endNow();
+            return this->exitNow();
         else
             this->logStopOrder("instance_stop_repeated");
         this->waitForSignal();
@@ -67,24 +67,24 @@
               {"in_service", static_cast<std::int64_t>(this->open.size())}});
 }
 
-// Whoever still waits is told, by the tick before the process ends: a connection that just
-// closes leaves its caller to guess.
-void EntryInstance::Parts::answerRest()
+// Answers all remaining requests one tick before the process exits. If the connections were just
+// closed, callers could not tell whether their requests had run.
+void EntryInstance::Parts::answerRemaining()
 {
-    this->restAnswered = true;
+    this->remainingAnswered = true;
     const std::vector<std::shared_ptr<Exchange>> served(this->open.begin(), this->open.end());
     for (const auto &exchange : served)
         exchange->onInstanceEnding();
 }
 
-void EntryInstance::Parts::endNow()
+void EntryInstance::Parts::exitNow()
 {
-    const CallerBacklog owed = this->callers.backlog();
+    const CallerBacklog callerBacklog = this->callers.backlog();
     logEvent(Severity::Info, "instance_stopped",
              {{"name", this->settings.name},
               {"in_service", static_cast<std::int64_t>(this->open.size())},
-              {"connections", static_cast<std::int64_t>(owed.connections)},
-              {"unsent_bytes", static_cast<std::int64_t>(owed.unsentBytes)}});
+              {"connections", static_cast<std::int64_t>(callerBacklog.connections)},
+              {"unsent_bytes", static_cast<std::int64_t>(callerBacklog.unsentBytes)}});
     if (this->peers)
         this->peers->depart();
     this->loop.stop();
@@ -121,7 +121,7 @@
 
 void EntryInstance::Parts::tick()
 {
-    this->timer.expires_after(tickGap);
+    this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const asio::error_code &failure) {
         if (!failure)
             this->tick();
@@ -132,26 +132,26 @@
     this->crashes.tick();
     this->limitGate.tick();
     this->logReadiness();
-    this->logListingsLeftOut();
+    this->logOmittedListings();
     if (this->isStopping)
-        this->goOnStopping();
+        this->continueStop();
 }
 
-// An answer that was given may still be on its way out, and a request on its way in: the
-// process ends once its callers' connections have, or their ends would be lost. One round of
-// the event loop passes between the last connection taken and that decision.
-void EntryInstance::Parts::goOnStopping()
+// Answers may still be in the send buffers and requests in transit, so the process exits only once
+// all callers' connections have closed. Otherwise the ends of answers would be lost. One iteration
+// of the event loop passes between accepting the last connection and that decision.
+void EntryInstance::Parts::continueStop()
 {
     const TimePoint now = this->clock.now();
-    if (now > this->forcedEnd())
-        return this->restAnswered ? this->endNow() : this->answerRest();
-    if (now - this->stopBegan <= takeConnectionsFor)
+    if (now > this->forcedExitTime())
+        return this->remainingAnswered ? this->exitNow() : this->answerRemaining();
+    if (now - this->stopBegan <= acceptTimeAfterStop)
         return;
     if (this->callers.isListening())
         return this->callers.stopListening();
     this->callers.closeIdle();
     if (this->open.empty() && this->callers.backlog().connections == 0)
-        this->endNow();
+        this->exitNow();
 }
 
 void EntryInstance::Parts::logReadiness()
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrynotifications.cpp
@@ -1,4 +1,4 @@
-// What an entry instance believes of targets, and what it and the other instances tell each other.
+// Handles changes of targets and the messages exchanged with other instances.
 #include "entryparts.h"
 
 #include "jaytrack/Support/log.h"
@@ -9,14 +9,15 @@
 
 namespace {
 
-// Targets write their entries about once a second, and the list lags by as much.
-constexpr std::chrono::milliseconds untilEntriesTell{2200};
+// Time until the entries of targets are current: targets write them about once a second, and the
+// list lags by the same amount.
+constexpr std::chrono::milliseconds entryDelay{2200};
 
 } // namespace
 
 void EntryInstance::Parts::onTargetListed(const TargetEntry &entry)
 {
-    if (this->listedLines.take())
+    if (this->listingLogAllowance.take())
         logEvent(Severity::Info, "target_listed",
                  {{"target", entry.id},
                   {"service", entry.service},
@@ -30,13 +31,13 @@
         this->prober.add(entry);
 }
 
-void EntryInstance::Parts::logListingsLeftOut()
+void EntryInstance::Parts::logOmittedListings()
 {
-    const std::size_t leftOut = this->listedLines.takeLeftOut();
-    if (leftOut == 0)
+    const std::size_t omitted = this->listingLogAllowance.takeLeftOut();
+    if (omitted == 0)
         return;
     logEvent(Severity::Info, "targets_listed",
-             {{"more", static_cast<std::int64_t>(leftOut)},
+             {{"more", static_cast<std::int64_t>(omitted)},
               {"targets", static_cast<std::int64_t>(this->directory.size())}});
 }
 
@@ -52,7 +53,8 @@
     return service != nullptr && service->engine;
 }
 
-void EntryInstance::Parts::noteCold(std::string_view target, Duration left, std::string_view source)
+void EntryInstance::Parts::recordCold(std::string_view target, Duration left,
+                                      std::string_view source)
 {
     if (!this->cold.heard(target, left))
         return;
@@ -63,38 +65,38 @@
 
 void EntryInstance::Parts::onTargetCold(const TargetEntry &entry)
 {
-    this->noteCold(entry.id, entry.coldFor, "store");
+    this->recordCold(entry.id, entry.coldFor, "store");
 }
 
 void EntryInstance::Parts::onColdFromPeer(std::string_view target, Duration left)
 {
-    this->noteCold(target, left, "peer");
+    this->recordCold(target, left, "peer");
 }
 
-// The targets of a data centre that comes back may have gone cold just before, and their entries
-// say so only some time later.
-void EntryInstance::Parts::doubtWarmth(const TargetEntry &entry)
+// Treats a target of a data centre that is back in use as cold, because it may have become cold
+// just before, and its entry shows that only later.
+void EntryInstance::Parts::assumeCold(const TargetEntry &entry)
 {
     const ServiceRule *service = this->serviceOf(entry);
     if (service != nullptr && service->cold.requestsPerSecond > 0)
-        this->noteCold(entry.id, service->cold.lasts + untilEntriesTell, "data_centre_back");
+        this->recordCold(entry.id, service->cold.lasts + entryDelay, "data_centre_back");
 }
 
-// What was known of the engines' load is old when they come back, and would be forecast to have
-// grown ever since.
+// Load data of engines is discarded when their data centre is back in use: it is old, and the
+// forecast would assume that the load has grown ever since.
 void EntryInstance::Parts::onDataCentreUse(std::string_view dataCentre, bool outOfUse)
 {
-    const std::vector<TargetEntry> concerned = this->directory.staying(dataCentre);
+    const std::vector<TargetEntry> affected = this->directory.staying(dataCentre);
     logEvent(Severity::Warning, outOfUse ? "data_centre_out_of_use" : "data_centre_back",
              {{"data_centre", dataCentre},
-              {"targets", static_cast<std::int64_t>(concerned.size())},
+              {"targets", static_cast<std::int64_t>(affected.size())},
               {"revision", static_cast<std::int64_t>(this->follower->knownRevision())},
               {"config_age_ms", toMillis(this->configuration.age())}});
     this->metrics.count(outOfUse ? "jaytrack_data_centres_out_of_use_total"
                                  : "jaytrack_data_centres_back_total");
-    for (const TargetEntry &target : concerned) {
+    for (const TargetEntry &target : affected) {
         if (!outOfUse)
-            this->doubtWarmth(target);
+            this->assumeCold(target);
         if (!this->isEngine(target))
             continue;
         if (outOfUse) {
@@ -171,15 +173,16 @@
     this->sharing.onStoreFromPeer(changes);
 }
 
-void EntryInstance::Parts::onFreshnessAsked(std::string_view peer, std::int64_t askedAt)
+void EntryInstance::Parts::onFreshnessQuery(std::string_view peer, std::int64_t requestedAt)
 {
-    this->sharing.onFreshnessAsked(peer, askedAt);
+    this->sharing.onFreshnessQuery(peer, requestedAt);
 }
 
-void EntryInstance::Parts::onFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                                       std::uint64_t era, std::uint64_t revision)
+void EntryInstance::Parts::onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt,
+                                             Duration age, std::uint64_t era,
+                                             std::uint64_t revision)
 {
-    this->sharing.onFreshness(peer, askedAt, age, era, revision);
+    this->sharing.onFreshnessAnswer(peer, requestedAt, age, era, revision);
 }
 
 void EntryInstance::Parts::onLeavingFromPeer(std::string_view target)
@@ -229,31 +232,31 @@
 void EntryInstance::Parts::tellAll(const QuarantineNews &news)
 {
     if (this->peers)
-        this->peers->tellAll(news);
+        this->peers->broadcastQuarantine(news);
 }
 
 void EntryInstance::Parts::tellSome(const QuarantineNews &news)
 {
     if (this->peers)
-        this->peers->tellSome(news);
+        this->peers->sendQuarantineToSample(news);
 }
 
 void EntryInstance::Parts::tellLimits(std::string_view instance, const LimitNews &news)
 {
     if (this->peers)
-        this->peers->tellLimits(instance, news);
+        this->peers->sendLimits(instance, news);
 }
 
 void EntryInstance::Parts::tellAllLimits(const LimitNews &news)
 {
     if (this->peers)
-        this->peers->tellAllLimits(news);
+        this->peers->broadcastLimits(news);
 }
 
 void EntryInstance::Parts::tellSomeLimits(const LimitNews &news)
 {
     if (this->peers)
-        this->peers->tellSomeLimits(news);
+        this->peers->sendLimitsToSample(news);
 }
 
 void EntryInstance::Parts::onRequestBarred(std::string_view digest)
@@ -278,7 +281,7 @@
 {
     if (load.startedAt != untoldStart)
         this->directory.hearStart(engine, load.startedAt);
-    // A report of another life says nothing of the one that was asked.
+    // A report of another incarnation says nothing about the engine that was probed.
     const TargetEntry *listed = this->directory.find(engine);
     const bool other = listed == nullptr ||
                        (load.startedAt != untoldStart && listed->startedAt != untoldStart &&
--- a/lib/Proxy/entryparts.h
+++ b/lib/Proxy/entryparts.h
@@ -1,6 +1,6 @@
-// The parts of an entry instance and how they hear of each other. What it does with callers'
-// requests stands in entryrequests.cpp, what it believes of targets and hears from other instances
-// in entrybeliefs.cpp, how it starts, ticks and stops in entrylife.cpp.
+// The components of an entry instance and the callbacks between them. Requests of callers are
+// handled in entryrequests.cpp, the state of targets and messages from other instances in
+// entrynotifications.cpp, and signals, ticks and shutdown in entrylife.cpp.
 #ifndef JAYTRACK_LIB_PROXY_ENTRYPARTS_H
 #define JAYTRACK_LIB_PROXY_ENTRYPARTS_H
 
@@ -28,11 +28,11 @@
                                     public LimitSpread,
                                     public CrashWatchListener
 {
-    // Answers the balancer's question and the request for metrics; what callers may not reach.
-    struct Desk final : public CallerHandler
+    // Serves the load balancer's readiness check and the metrics, which callers cannot reach.
+    struct ServiceEndpoint final : public CallerHandler
     {
-        explicit Desk(Parts &served)
-            : parts(served)
+        explicit ServiceEndpoint(Parts &owner)
+            : parts(owner)
         {
         }
 
@@ -47,22 +47,23 @@
         Parts &parts;
     };
 
-    Parts(const EntrySettings &given, const Clock &time, const Dialect &words);
+    Parts(const EntrySettings &entrySettings, const Clock &time, const Dialect &platform);
     void applyBounds();
     Result<void> openListeners();
     Result<void> joinPeers();
     Result<void> followStore();
     bool isReady() const;
 
-    // Whether this instance knows what it needs to serve requests, lately confirmed or not.
-    bool knowsEnough() const { return this->configuration.table() && this->targets.isLoaded(); }
+    // Whether this instance has a configuration and targets, regardless of how recently they were
+    // confirmed.
+    bool hasInitialData() const { return this->configuration.table() && this->targets.isLoaded(); }
 
     // CallerHandler
 
     void onRequest(std::shared_ptr<CallerConnection> connection, CallerRequest request) override;
     void serve(std::shared_ptr<CallerConnection> connection, CallerRequest request);
     bool isBarred(const AdmittedRequest &request) const;
-    std::chrono::milliseconds delayToReturn(const AdmittedRequest &refused);
+    std::chrono::milliseconds retryDelay(const AdmittedRequest &refused);
     void refuse(CallerConnection &connection, const AdmittedRequest &admitted,
                 const AdmissionInputs &inputs);
     void onUnreadable(int status, std::string_view reason) override;
@@ -81,11 +82,11 @@
     void onTargetCold(const TargetEntry &entry) override;
     void onDataCentreUse(std::string_view dataCentre, bool outOfUse) override;
 
-    void logListingsLeftOut();
+    void logOmittedListings();
     const ServiceRule *serviceOf(const TargetEntry &entry) const;
     bool isEngine(const TargetEntry &entry) const;
-    void doubtWarmth(const TargetEntry &entry);
-    void noteCold(std::string_view target, Duration left, std::string_view source);
+    void assumeCold(const TargetEntry &entry);
+    void recordCold(std::string_view target, Duration left, std::string_view source);
 
     // PeerLinkListener
 
@@ -94,9 +95,9 @@
     void onFailedForPeer(std::string_view engine, std::string_view peer) override;
     void onLoadFromPeer(std::string_view engine, const EngineLoad &load) override;
     void onStoreFromPeer(const SharedChanges &changes) override;
-    void onFreshnessAsked(std::string_view peer, std::int64_t askedAt) override;
-    void onFreshness(std::string_view peer, std::int64_t askedAt, Duration age, std::uint64_t era,
-                     std::uint64_t revision) override;
+    void onFreshnessQuery(std::string_view peer, std::int64_t requestedAt) override;
+    void onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                           std::uint64_t era, std::uint64_t revision) override;
     void onLeavingFromPeer(std::string_view target) override;
     void onColdFromPeer(std::string_view target, Duration left) override;
 
@@ -144,30 +145,31 @@
     void onNoLoad(std::string_view engine) override;
     void onLoad(std::string_view engine, const EngineLoad &load) override;
 
-    // Life of the process
+    // Process lifecycle
 
     void waitForSignal();
     void beginStop();
     void logStopOrder(std::string_view event) const;
 
-    // When the process ends in any case, shortly before its grace is over.
-    TimePoint forcedEnd() const;
-    void answerRest();
-    void endNow();
+    // Time at which the process exits in any case, shortly before its drain grace period ends.
+    TimePoint forcedExitTime() const;
+    void answerRemaining();
+    void exitNow();
     void reload(std::string_view cause);
     void checkFile();
     void tick();
-    void goOnStopping();
+    void continueStop();
     void logReadiness();
 
     EntrySettings settings;
     const Clock &clock;
     const Dialect &dialect;
-    Desk desk; // outlives the loop, whose open connections hand back their memory to it
+    // Outlives the loop, whose open connections release their memory to it.
+    ServiceEndpoint serviceEndpoint;
     asio::io_context loop{1};
     Metrics metrics;
     std::mt19937_64 random;
-    LogAllowance listedLines; // of single targets
+    LogAllowance listingLogAllowance; // rate limit of log lines about single targets
     TargetDirectory directory;
     TargetHealth health;
     EngineChoice engines;
@@ -192,14 +194,14 @@
     CallerServer metricsServer;
     asio::signal_set signals;
     asio::steady_timer timer;
-    std::unique_ptr<PeerLink> peers; // null if the settings name no address for it
+    std::unique_ptr<PeerLink> peers; // null if the settings contain no peer address
     std::shared_ptr<StoreFollower> follower;
     std::string settingsFile;
     std::string settingsText;
     std::size_t reserved = 0;
     int ticks = 0;
     bool isStopping = false;
-    bool restAnswered = false;
+    bool remainingAnswered = false;
     bool wasReady = false;
     TimePoint stopBegan;
 };
--- a/lib/Proxy/entryrequests.cpp
+++ b/lib/Proxy/entryrequests.cpp
@@ -1,4 +1,4 @@
-// What an entry instance does with the requests of callers and of the platform itself.
+// Handles requests of callers, readiness checks and metrics requests.
 #include "entryparts.h"
 
 #include "jaytrack/Support/log.h"
@@ -9,14 +9,14 @@
 
 namespace {
 
-// The part of the instance's memory that requests being read may take together.
+// Requests that are being read may together use the instance's memory limit divided by this.
 constexpr std::size_t memoryShareDivisor = 4;
 
 constexpr int okStatus = 200;
 constexpr int unavailableStatus = 503;
 constexpr int notFoundStatus = 404;
 
-ResultCode codeOfUnreadable(int status)
+ResultCode unreadableResultCode(int status)
 {
     switch (status) {
     case 408:
@@ -34,8 +34,8 @@
 
 } // namespace
 
-void EntryInstance::Parts::Desk::onRequest(std::shared_ptr<CallerConnection> connection,
-                                           CallerRequest request)
+void EntryInstance::Parts::ServiceEndpoint::onRequest(std::shared_ptr<CallerConnection> connection,
+                                                      CallerRequest request)
 {
     if (request.head.path() == this->parts.dialect.readinessPath()) {
         connection->respond(this->parts.isReady() ? okStatus : unavailableStatus, {}, {});
@@ -51,12 +51,12 @@
 void EntryInstance::Parts::onRequest(std::shared_ptr<CallerConnection> connection,
                                      CallerRequest request)
 {
-    if (this->knowsEnough() || this->isStopping)
+    if (this->hasInitialData() || this->isStopping)
         return this->serve(std::move(connection), std::move(request));
-    const auto callersTime = this->dialect.describe(request.head.headers).timeLeft;
-    if (!this->startup.mayWait(callersTime))
+    const auto callerTimeLimit = this->dialect.describe(request.head.headers).timeLeft;
+    if (!this->startup.canWait(callerTimeLimit))
         return this->serve(std::move(connection), std::move(request));
-    this->startup.add(std::move(connection), std::move(request), callersTime);
+    this->startup.add(std::move(connection), std::move(request), callerTimeLimit);
 }
 
 void EntryInstance::Parts::serve(std::shared_ptr<CallerConnection> connection,
@@ -71,7 +71,7 @@
     inputs.table = admitted.table.get();
     inputs.age = this->configuration.age();
     if (this->isStopping)
-        inputs.endsIn = this->forcedEnd() - this->clock.now();
+        inputs.endsIn = this->forcedExitTime() - this->clock.now();
     inputs.host = head.header("Host");
     inputs.path = head.path();
     inputs.facts = &admitted.facts;
@@ -92,14 +92,14 @@
     return !this->crashes.isIdle() && this->crashes.isBarred(digestOf(request));
 }
 
-std::chrono::milliseconds EntryInstance::Parts::delayToReturn(const AdmittedRequest &refused)
+std::chrono::milliseconds EntryInstance::Parts::retryDelay(const AdmittedRequest &refused)
 {
     const ResultCode code = refused.admission.code;
     if (code == ResultCode::RequestBarred)
         return std::chrono::duration_cast<std::chrono::milliseconds>(
                 this->crashes.barredFor(digestOf(refused)));
-    return comeBackDelay(code, refused.admission.route,
-                         this->settings.tuning.streams.partOfObjectiveToReturn, this->random);
+    return retryAfterDelay(code, refused.admission.route,
+                           this->settings.tuning.streams.maxRetryDelayFraction, this->random);
 }
 
 void EntryInstance::Parts::refuse(CallerConnection &connection, const AdmittedRequest &admitted,
@@ -110,7 +110,7 @@
     std::vector<HttpHeader> headers;
     headers.push_back({"Jaytrack-Outcome", std::string(outcomeName(info.outcome))});
     if (info.httpStatus == unavailableStatus) {
-        headers.push_back(this->dialect.comeBackIn(this->delayToReturn(admitted)));
+        headers.push_back(this->dialect.comeBackIn(this->retryDelay(admitted)));
     }
     const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(inputs.age);
     logEvent(Severity::Info, "request_refused",
@@ -129,7 +129,7 @@
 void EntryInstance::Parts::onUnreadable(int status, std::string_view reason)
 {
     logEvent(Severity::Info, "request_unreadable",
-             {{"code", static_cast<std::int64_t>(codeOfUnreadable(status))},
+             {{"code", static_cast<std::int64_t>(unreadableResultCode(status))},
               {"status", status},
               {"reason", reason}});
     this->metrics.count("jaytrack_unreadable_total{reason=\"" + std::string(reason) + "\"}");
--- a/lib/Proxy/entrysettings.cpp
+++ b/lib/Proxy/entrysettings.cpp
@@ -10,9 +10,9 @@
 constexpr IntegerRange secondRange{1, 3600};
 constexpr IntegerRange megabyteRange{16, 1'048'576};
 constexpr IntegerRange descriptorRange{64, 10'000'000};
-constexpr double mostRetrySlack = 1e6;
-constexpr double mostColdOverage = 100;
-constexpr double mostColdExtra = 1e6;
+constexpr double maxRetrySlack = 1e6;
+constexpr double maxColdOverage = 100;
+constexpr double maxColdExtra = 1e6;
 
 std::string readAddress(TomlTable &table, std::string_view key, bool required)
 {
@@ -37,8 +37,8 @@
     return std::chrono::seconds(table.integer(key, secondRange, fallback.count()));
 }
 
-// Seeds name hosts of the fleet by whatever port the platform lists; peers use one port on all
-// hosts.
+// Seeds name the hosts of the fleet with the ports that the platform lists; peers use the same port
+// on all hosts.
 std::string withPortOf(std::string_view seed, std::string_view own)
 {
     return std::string(seed.substr(0, seed.rfind(':'))) + std::string(own.substr(own.rfind(':')));
@@ -46,7 +46,7 @@
 
 void readPeers(TomlTable &peers, EntrySettings &settings)
 {
-    static constexpr std::size_t leastKeyLength = 16;
+    static constexpr std::size_t minKeyLength = 16;
     settings.peers = readAddress(peers, "listen", true);
     for (const std::string &seed : peers.texts("seed_hosts")) {
         if (parseEndpoint(seed))
@@ -58,7 +58,7 @@
     if (settings.peerKeys.empty())
         peers.report(ResultCode::SettingsMissing, "keys", "at least one key must be given");
     for (const std::string &key : settings.peerKeys) {
-        if (key.size() < leastKeyLength)
+        if (key.size() < minKeyLength)
             peers.report(ResultCode::SettingsOutOfRange, "keys",
                          "a key has at least 16 characters");
     }
@@ -116,11 +116,11 @@
     settings.drainGrace = readSeconds(bounds, "drain_grace_s", settings.drainGrace);
     settings.retryRatio = bounds.number("retry_ratio", 0, 1, settings.retryRatio);
     settings.retryWindow = readSeconds(bounds, "retry_window_s", settings.retryWindow);
-    settings.retrySlack = bounds.number("retry_slack", 0, mostRetrySlack, settings.retrySlack);
+    settings.retrySlack = bounds.number("retry_slack", 0, maxRetrySlack, settings.retrySlack);
     settings.coldBound.overage =
-            bounds.number("cold_overage", 1, mostColdOverage, settings.coldBound.overage);
+            bounds.number("cold_overage", 1, maxColdOverage, settings.coldBound.overage);
     settings.coldBound.extra =
-            bounds.number("cold_extra", 0, mostColdExtra, settings.coldBound.extra);
+            bounds.number("cold_extra", 0, maxColdExtra, settings.coldBound.extra);
     bounds.finish();
 
     TomlTable limits = root.table("limits");
--- a/lib/Proxy/entrytuning.cpp
+++ b/lib/Proxy/entrytuning.cpp
@@ -13,13 +13,13 @@
             table.integer(key, countRange, static_cast<std::int64_t>(value)));
 }
 
-void readPart(TomlTable &table, std::string_view key, double &value)
+void readFraction(TomlTable &table, std::string_view key, double &value)
 {
     value = table.number(key, 0, 1, value);
 }
 
 template <typename Span>
-void readPause(TomlTable &table, std::string_view key, Span &value)
+void readDuration(TomlTable &table, std::string_view key, Span &value)
 {
     const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(value).count();
     value = std::chrono::milliseconds(table.integer(key, pauseRange, millis));
@@ -27,29 +27,29 @@
 
 void readEngines(TomlTable &table, EngineChoiceOptions &options)
 {
-    static constexpr double mostWeight = 1000;
+    static constexpr double maxWeight = 1000;
     readCount(table, "candidates", options.candidates);
-    readPart(table, "new_run_share", options.newRunShare);
-    readPart(table, "urgent_share", options.urgentShare);
-    options.weightOfDelay = table.number("weight_of_delay", 0, mostWeight, options.weightOfDelay);
+    readFraction(table, "new_run_share", options.newRunShare);
+    readFraction(table, "urgent_share", options.urgentShare);
+    options.weightOfDelay = table.number("weight_of_delay", 0, maxWeight, options.weightOfDelay);
     options.refugeWeightOfDelay =
-            table.number("refuge_weight_of_delay", 0, mostWeight, options.refugeWeightOfDelay);
+            table.number("refuge_weight_of_delay", 0, maxWeight, options.refugeWeightOfDelay);
     options.urgentLeavesRefuge = table.flag("urgent_leaves_refuge", options.urgentLeavesRefuge);
-    readPart(table, "refuge_blur", options.refugeBlur);
-    readPart(table, "distant_handicap", options.distantHandicap);
-    readPart(table, "distant_copy_handicap", options.distantCopyHandicap);
-    readPart(table, "most_refuge_share", options.mostRefugeShare);
-    readPause(table, "refuge_time_ms", options.refugeTime);
+    readFraction(table, "refuge_blur", options.refugeBlur);
+    readFraction(table, "distant_handicap", options.distantHandicap);
+    readFraction(table, "distant_copy_handicap", options.distantCopyHandicap);
+    readFraction(table, "most_refuge_share", options.mostRefugeShare);
+    readDuration(table, "refuge_time_ms", options.refugeTime);
     readCount(table, "failures_to_avoid", options.failuresToAvoid);
-    readPause(table, "avoid_ms", options.avoidFor);
+    readDuration(table, "avoid_ms", options.avoidFor);
 }
 
 void readStreams(TomlTable &table, StreamOptions &options)
 {
-    readPart(table, "part_of_objective_to_wait", options.partOfObjectiveToWait);
-    readPart(table, "part_of_objective_to_return", options.partOfObjectiveToReturn);
-    readPart(table, "usable_part_of_objective", options.usablePartOfObjective);
-    readPause(table, "first_copy_pause_ms", options.mostFirstPause);
+    readFraction(table, "part_of_objective_to_wait", options.maxWaitFraction);
+    readFraction(table, "part_of_objective_to_return", options.maxRetryDelayFraction);
+    readFraction(table, "usable_part_of_objective", options.usableObjectiveFraction);
+    readDuration(table, "first_copy_pause_ms", options.maxFirstCopyDelay);
 }
 
 } // namespace
@@ -60,8 +60,8 @@
     readEngines(table, tuning.engines);
     readStreams(table, tuning.streams);
     readCount(table, "store_readers", tuning.sharing.readers);
-    readPause(table, "store_gap_ms", tuning.storeGap);
-    readPause(table, "probe_gap_ms", tuning.probeGap);
+    readDuration(table, "store_gap_ms", tuning.storeReadInterval);
+    readDuration(table, "probe_gap_ms", tuning.probeInterval);
     table.finish();
     return tuning;
 }
--- a/lib/Proxy/exchange.cpp
+++ b/lib/Proxy/exchange.cpp
@@ -11,20 +11,21 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 8> connectionHeaders = {
+constexpr std::array<std::string_view, 8> hopByHopHeaders = {
         "Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding",
         "TE",         "Trailer",    "Upgrade",          "Content-Length"};
 
-// What a stream wrote before it broke may leave for so long; shorter where the caller's time is
-// over, since the end of its connection is its final answer.
-constexpr std::chrono::milliseconds restLeavesWithin{1000};
-constexpr std::chrono::milliseconds lateRestLeavesWithin{200};
+// Time for the bytes already written to a broken stream to be sent before the connection is closed.
+// It is shorter once the caller's deadline has passed, since closing the connection is then the
+// final answer.
+constexpr std::chrono::milliseconds abortTimeout{1000};
+constexpr std::chrono::milliseconds lateAbortTimeout{200};
 
-constexpr std::chrono::milliseconds unboundedWait = std::chrono::hours(1);
+constexpr std::chrono::milliseconds defaultTimeout = std::chrono::hours(1);
 
-bool concernsConnection(std::string_view name, std::string_view connectionOptions)
+bool isHopByHop(std::string_view name, std::string_view connectionOptions)
 {
-    for (const std::string_view known : connectionHeaders) {
+    for (const std::string_view known : hopByHopHeaders) {
         if (sameHeaderName(known, name))
             return true;
     }
@@ -51,7 +52,7 @@
     std::vector<HttpHeader> kept;
     kept.reserve(headers.size());
     for (const HttpHeader &header : headers) {
-        if (!concernsConnection(header.name, options) && !sameHeaderName(header.name, "Expect"))
+        if (!isHopByHop(header.name, options) && !sameHeaderName(header.name, "Expect"))
             kept.push_back(header);
     }
     return kept;
@@ -62,11 +63,11 @@
     return withoutHopByHop(headers);
 }
 
-// Load that it answers: a herd of callers refused at the same moment. Whoever only met an instance
-// that cannot serve now goes to another one and may do so at once; whoever met full targets waits a
-// part of the objective.
-std::chrono::milliseconds comeBackDelay(ResultCode code, const RouteRule *route, double most,
-                                        std::mt19937_64 &random)
+// The delay is random so that many callers refused at the same moment do not all retry together. A
+// caller refused only because this instance cannot serve may go to another instance at once; a
+// caller that met full targets waits for a fraction of the objective.
+std::chrono::milliseconds retryAfterDelay(ResultCode code, const RouteRule *route, double maxPart,
+                                          std::mt19937_64 &random)
 {
     static constexpr std::chrono::milliseconds soon{20};
     static constexpr std::chrono::milliseconds unknownRoute{200};
@@ -74,7 +75,7 @@
             route == nullptr || route->objective.count() == 0 ? unknownRoute : route->objective;
     const bool instanceOnly = code == ResultCode::Draining || code == ResultCode::NotReady ||
                               code == ResultCode::ConfigurationStale;
-    const auto part = static_cast<std::int64_t>(static_cast<double>(objective.count()) * most);
+    const auto part = static_cast<std::int64_t>(static_cast<double>(objective.count()) * maxPart);
     const std::int64_t longest = instanceOnly ? soon.count() * 2 : std::max(soon.count() * 2, part);
     std::uniform_int_distribution<std::int64_t> delay(soon.count(), longest);
     return std::chrono::milliseconds(delay(random));
@@ -89,19 +90,19 @@
             {head.method, head.header("Host"), head.target, customer, admitted.request.body});
 }
 
-Exchange::Exchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> from,
-                   AdmittedRequest given)
+Exchange::Exchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> connection,
+                   AdmittedRequest admittedRequest)
     : context(shared)
-    , caller(std::move(from))
-    , admitted(std::move(given))
-    , limitTimer(shared.loop)
+    , caller(std::move(connection))
+    , admitted(std::move(admittedRequest))
+    , deadlineTimer(shared.loop)
 {
     std::uniform_real_distribution<double> draw(0, 1);
     this->serviceName = RoutingTable::pickService(this->route(), draw(shared.random));
-    std::chrono::milliseconds wait = this->facts().timeLeft.value_or(unboundedWait);
+    std::chrono::milliseconds wait = this->facts().timeLeft.value_or(defaultTimeout);
     if (this->route().timeout.count() > 0)
         wait = std::min(wait, this->route().timeout);
-    this->limit = this->request().arrived + wait;
+    this->deadline = this->request().arrived + wait;
 }
 
 Exchange::~Exchange() = default;
@@ -111,11 +112,12 @@
     this->context.open.insert(this->shared_from_this());
     this->caller->attach(this->shared_from_this());
     this->context.retries.earn(this->serviceName);
-    this->limitTimer.expires_after(std::max(this->timeLeft(), std::chrono::milliseconds(0)));
-    this->limitTimer.async_wait([self = this->shared_from_this()](const asio::error_code &failure) {
-        if (!failure && !self->finished)
-            self->onLimit();
-    });
+    this->deadlineTimer.expires_after(std::max(this->timeLeft(), std::chrono::milliseconds(0)));
+    this->deadlineTimer.async_wait(
+            [self = this->shared_from_this()](const asio::error_code &failure) {
+                if (!failure && !self->finished)
+                    self->onDeadline();
+            });
     this->attempt();
 }
 
@@ -127,9 +129,9 @@
 std::vector<const TargetEntry *> Exchange::usableTargets() const
 {
     std::vector<const TargetEntry *> targets = this->allowedTargets();
-    const double rate = this->coldRate();
+    const double rate = this->coldRequestsPerSecond();
     std::erase_if(targets, [this, rate](const TargetEntry *entry) {
-        return this->restOf(*entry, rate) > Duration(0);
+        return this->remainingPause(*entry, rate) > Duration(0);
     });
     return targets;
 }
@@ -153,19 +155,19 @@
            (holder == nullptr || allowsRegion(holder->regions, region));
 }
 
-Duration Exchange::restOf(const TargetEntry &target, double rate) const
+Duration Exchange::remainingPause(const TargetEntry &target, double rate) const
 {
     return std::max({this->context.pauses.left(target.id), this->context.cold.wait(target.id, rate),
                      this->context.limits.rest(target.id)});
 }
 
-double Exchange::coldRate() const
+double Exchange::coldRequestsPerSecond() const
 {
     const ServiceRule *rule = this->service();
     return rule != nullptr ? rule->cold.requestsPerSecond : 0;
 }
 
-std::vector<const TargetEntry *> Exchange::untried() const
+std::vector<const TargetEntry *> Exchange::untriedTargets() const
 {
     std::vector<const TargetEntry *> targets = this->usableTargets();
     std::erase_if(targets,
@@ -173,44 +175,44 @@
     return targets;
 }
 
-std::optional<Duration> Exchange::shortestRest() const
+std::optional<Duration> Exchange::shortestPause() const
 {
     std::optional<Duration> shortest;
-    const double rate = this->coldRate();
+    const double rate = this->coldRequestsPerSecond();
     for (const TargetEntry *entry : this->allowedTargets()) {
-        const Duration left = this->restOf(*entry, rate);
+        const Duration left = this->remainingPause(*entry, rate);
         if (left > Duration(0))
             shortest = std::min(shortest.value_or(left), left);
     }
     return shortest;
 }
 
-std::string_view Exchange::lackOfTargets() const
+std::string_view Exchange::noTargetReason() const
 {
     return this->context.directory.waitsForDataCentre(this->serviceName) ? "data_centre_out_of_use"
                                                                          : "no_usable_target";
 }
 
-void Exchange::refuseUntilRested()
+void Exchange::refuseAllPaused()
 {
-    this->answerOwn(this->mayHaveRun() ? ResultCode::TargetLost : ResultCode::TargetFull,
-                    "targets_want_rest");
+    this->answerWithResult(this->mayHaveRun() ? ResultCode::TargetLost : ResultCode::TargetFull,
+                           "targets_want_rest");
 }
 
-void Exchange::whenPermitted(const TargetEntry &target,
-                             const std::function<void(const TargetEntry &)> &send)
+void Exchange::sendWhenPermitted(const TargetEntry &target,
+                                 const std::function<void(const TargetEntry &)> &send)
 {
     const std::weak_ptr<Exchange> weak = this->weak_from_this();
     const auto later = [weak, target, send](const Permit &permit) {
         const auto self = weak.lock();
         if (self && !self->finished)
-            self->goOnWith(target, permit, send);
+            self->onPermit(target, permit, send);
     };
     if (const auto permit = this->context.limits.request(target.id, later))
-        this->goOnWith(target, *permit, send);
+        this->onPermit(target, *permit, send);
 }
 
-void Exchange::goOnWith(const TargetEntry &target, const Permit &permit,
+void Exchange::onPermit(const TargetEntry &target, const Permit &permit,
                         const std::function<void(const TargetEntry &)> &send)
 {
     if (!permit.granted) {
@@ -219,7 +221,7 @@
                                             {"wait_ms", toMillis(permit.wait)}});
         return this->attempt();
     }
-    // The keeper's answer took a moment, in which the target may have gone out of use.
+    // The target may have gone out of use while the permit was requested from the limit's owner.
     if (!this->isAllowed(target))
         return this->attempt();
     send(target);
@@ -234,15 +236,15 @@
 
 std::chrono::milliseconds Exchange::timeLeft() const
 {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(this->limit -
+    return std::chrono::duration_cast<std::chrono::milliseconds>(this->deadline -
                                                                  this->context.clock.now());
 }
 
 const std::string &Exchange::digest() const
 {
-    if (this->knownDigest.empty())
-        this->knownDigest = digestOf(this->admitted);
-    return this->knownDigest;
+    if (this->cachedDigest.empty())
+        this->cachedDigest = digestOf(this->admitted);
+    return this->cachedDigest;
 }
 
 TargetRequest Exchange::makeRequest(const TargetEntry &target, ForwardOrders orders,
@@ -253,40 +255,41 @@
     orders.targetName = target.name;
     if (this->admitted.admission.holder != nullptr)
         orders.customer = this->admitted.admission.holder->customer;
-    TargetRequest made;
-    made.endpoint = endpoint;
-    made.method = head.method;
-    made.target = head.target;
-    made.headers = this->context.dialect.forwardHeaders(withoutHopByHop(head.headers), orders);
-    made.body = this->request().body;
-    return made;
+    TargetRequest outgoing;
+    outgoing.endpoint = endpoint;
+    outgoing.method = head.method;
+    outgoing.target = head.target;
+    outgoing.headers = this->context.dialect.forwardHeaders(withoutHopByHop(head.headers), orders);
+    outgoing.body = this->request().body;
+    return outgoing;
 }
 
-std::chrono::milliseconds Exchange::delayToReturn(ResultCode code) const
+std::chrono::milliseconds Exchange::retryDelay(ResultCode code) const
 {
     if (code == ResultCode::RequestBarred)
         return std::chrono::duration_cast<std::chrono::milliseconds>(
                 this->context.crashes.barredFor(this->digest()));
     const auto usual =
-            comeBackDelay(code, this->admitted.admission.route,
-                          this->context.streams.partOfObjectiveToReturn, this->context.random);
-    // Where all targets want rest, nobody is served before the first of them is rested.
-    const Duration rest = this->usableTargets().empty() ? this->shortestRest().value_or(Duration(0))
-                                                        : Duration(0);
+            retryAfterDelay(code, this->admitted.admission.route,
+                            this->context.streams.maxRetryDelayFraction, this->context.random);
+    // If all targets are paused, no request is served before the first pause ends.
+    const Duration rest = this->usableTargets().empty()
+                                  ? this->shortestPause().value_or(Duration(0))
+                                  : Duration(0);
     return usual + std::chrono::duration_cast<std::chrono::milliseconds>(rest);
 }
 
-void Exchange::noteLostUnanswered(const TargetEntry &target, TimePoint sentAt) const
+void Exchange::reportLostUnanswered(const TargetEntry &target, TimePoint sentAt) const
 {
-    // A target that leaves closes what waits there when it ends, as planned; some leave by being
-    // taken off the list. One that has just crashed is still listed.
+    // A target that shuts down as planned closes its waiting connections; some targets leave by
+    // being removed from the list. A target that has just crashed is still listed.
     const TargetEntry *listed = this->context.directory.find(target.id);
     if (listed == nullptr || listed->leaving)
         return;
     this->context.crashes.lostUnanswered(target.id, target.address, this->digest(), sentAt);
 }
 
-void Exchange::noteRanWell() const
+void Exchange::reportSafeRun() const
 {
     if (!this->context.crashes.isIdle())
         this->context.crashes.ranWell(this->digest());
@@ -296,29 +299,30 @@
 {
     if (this->finished || this->hasBegunAnswer() || this->digest() != barredDigest)
         return;
-    this->answerOwn(this->mayHaveRun() ? ResultCode::TargetLost : ResultCode::RequestBarred,
-                    "barred");
+    this->answerWithResult(this->mayHaveRun() ? ResultCode::TargetLost : ResultCode::RequestBarred,
+                           "barred");
 }
 
-void Exchange::answerOwn(ResultCode code, std::string_view detail)
+void Exchange::answerWithResult(ResultCode code, std::string_view detail)
 {
     if (this->finished)
         return;
     if (this->hasBegunAnswer()) {
-        this->caller->abort(this->timeLeft().count() > 0 ? restLeavesWithin : lateRestLeavesWithin);
+        this->caller->abort(this->timeLeft().count() > 0 ? abortTimeout : lateAbortTimeout);
         return this->finish(code, 0, detail);
     }
     const ResultCodeInfo &info = describe(code);
     std::vector<HttpHeader> headers;
     headers.push_back({"Jaytrack-Outcome", std::string(outcomeName(info.outcome))});
     if (info.outcome == Outcome::NotRun) {
-        headers.push_back(this->context.dialect.comeBackIn(this->delayToReturn(code)));
+        headers.push_back(this->context.dialect.comeBackIn(this->retryDelay(code)));
     }
     this->caller->respond(info.httpStatus, headers, {});
     this->finish(code, info.httpStatus, detail);
 }
 
-void Exchange::answerWhole(const MessageHead &head, std::string_view body, std::string_view target)
+void Exchange::forwardAnswer(const MessageHead &head, std::string_view body,
+                             std::string_view target)
 {
     if (this->finished)
         return;
@@ -331,7 +335,7 @@
     if (this->finished)
         return;
     this->finished = true;
-    this->limitTimer.cancel();
+    this->deadlineTimer.cancel();
     this->cancelCalls();
     const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
             this->context.clock.now() - this->request().arrived);
@@ -372,8 +376,8 @@
 
 void Exchange::onInstanceEnding()
 {
-    this->answerOwn(this->mayHaveRun() ? ResultCode::InstanceEnded : ResultCode::Draining,
-                    "grace_over");
+    this->answerWithResult(this->mayHaveRun() ? ResultCode::InstanceEnded : ResultCode::Draining,
+                           "grace_over");
 }
 
 void Exchange::onCallerGone()
@@ -381,10 +385,10 @@
     this->finish(ResultCode::CallerLeft, 0, "caller_closed");
 }
 
-void Exchange::onLimit()
+void Exchange::onDeadline()
 {
-    this->answerOwn(this->mayHaveRun() ? ResultCode::TargetTimeout : ResultCode::WaitExpired,
-                    "time_limit");
+    this->answerWithResult(this->mayHaveRun() ? ResultCode::TargetTimeout : ResultCode::WaitExpired,
+                           "time_limit");
 }
 
 } // namespace jaytrack
--- a/lib/Proxy/loadprober.cpp
+++ b/lib/Proxy/loadprober.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds answerBound{400};
+constexpr std::chrono::milliseconds answerTimeout{400};
 constexpr int okStatus = 200;
 
 } // namespace
@@ -16,9 +16,9 @@
                                 public std::enable_shared_from_this<Probe>
 {
 public:
-    Probe(LoadProber &owner, TargetEntry at)
+    Probe(LoadProber &owner, TargetEntry engine)
         : prober(owner)
-        , target(std::move(at))
+        , target(std::move(engine))
         , timer(owner.context)
         , addedAt(owner.clock.now())
     {
@@ -26,9 +26,9 @@
 
     void start()
     {
-        // Instances that start together would otherwise ask every engine in the same instant.
-        std::uniform_int_distribution<std::int64_t> first(0, this->prober.gap.count());
-        this->askAfter(std::chrono::milliseconds(first(this->prober.random)));
+        // The random delay keeps instances that start together from probing every engine at once.
+        std::uniform_int_distribution<std::int64_t> first(0, this->prober.interval.count());
+        this->probeAfter(std::chrono::milliseconds(first(this->prober.random)));
     }
 
     void stop()
@@ -40,58 +40,60 @@
     }
 
 private:
-    void askAfter(std::chrono::milliseconds delay)
+    void probeAfter(std::chrono::milliseconds delay)
     {
         this->timer.expires_after(delay);
         this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
             const auto self = weak.lock();
             if (!failure && self && !self->stopped)
-                self->askIfDue();
+                self->probeIfDue();
         });
     }
 
-    void askIfDue()
+    void probeIfDue()
     {
-        if (this->prober.selfReports.wantsRest(this->target.id))
-            return this->askAfter(this->prober.gap);
+        if (this->prober.selfReports.isTargetPaused(this->target.id))
+            return this->probeAfter(this->prober.interval);
         if (!this->prober.sharing.isMine(this->target.id)) {
             this->addedAt = this->prober.clock.now();
-            return this->askAfter(lookAgain);
+            return this->probeAfter(assignmentCheckInterval);
         }
-        // A report that never came is as old as the listing: an instance that starts would
-        // otherwise ask every engine, 59 questions at each of 195 starts.
-        const Duration told = this->prober.engines.forecast(this->target.id).reportAge;
-        const Duration age = told < Duration(0) ? this->prober.clock.now() - this->addedAt : told;
-        const bool overdue = age > askAnyway + this->ownGap() - this->prober.gap;
+        // Without a report, the age counts from the listing of the engine. Otherwise a starting
+        // instance would probe every engine: 59 probes at each of 195 starts.
+        const Duration lastReportAge = this->prober.engines.forecast(this->target.id).reportAge;
+        const Duration age = lastReportAge < Duration(0) ? this->prober.clock.now() - this->addedAt
+                                                         : lastReportAge;
+        const bool overdue =
+                age > maxReportAge + this->targetProbeInterval() - this->prober.interval;
         if (overdue || this->prober.sharing.isMineToAsk(this->target.id))
-            return this->askIfPermitted();
-        this->askAfter(this->prober.gap);
+            return this->probeWhenPermitted();
+        this->probeAfter(this->prober.interval);
     }
 
-    std::chrono::milliseconds ownGap() const
+    std::chrono::milliseconds targetProbeInterval() const
     {
-        return this->prober.limits.questionGap(this->target.id, this->prober.gap);
+        return this->prober.limits.questionGap(this->target.id, this->prober.interval);
     }
 
-    void askIfPermitted()
+    void probeWhenPermitted()
     {
         const auto later = [weak = this->weak_from_this()](const Permit &permit) {
             const auto self = weak.lock();
             if (self && !self->stopped)
-                self->goOnWith(permit);
+                self->onPermit(permit);
         };
         if (const auto permit = this->prober.limits.request(this->target.id, later))
-            this->goOnWith(*permit);
+            this->onPermit(*permit);
     }
 
-    void goOnWith(const Permit &permit)
+    void onPermit(const Permit &permit)
     {
         if (permit.granted)
-            return this->ask();
-        this->askAfter(this->prober.gap);
+            return this->sendProbe();
+        this->probeAfter(this->prober.interval);
     }
 
-    void ask()
+    void sendProbe()
     {
         const auto endpoint = parseEndpoint(this->target.address);
         if (!endpoint) {
@@ -105,12 +107,12 @@
         request.endpoint = endpoint.value();
         request.target = this->prober.dialect.loadPath();
         request.headers.push_back({"Host", this->target.address});
-        request.connectTimeout = answerBound;
+        request.connectTimeout = answerTimeout;
         this->status = 0;
         this->body.clear();
         this->call =
                 TargetCall::start(this->prober.context, std::move(request), this->weak_from_this());
-        this->timer.expires_after(answerBound);
+        this->timer.expires_after(answerTimeout);
         this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
             const auto self = weak.lock();
             if (failure || !self || self->stopped)
@@ -123,7 +125,7 @@
     void onAnswerHead(MessageHead head) override
     {
         this->status = head.status;
-        this->prober.selfReports.hear(this->target.id, head);
+        this->prober.selfReports.recordAnswer(this->target.id, head);
     }
     void onAnswerBody(std::string_view bytes) override { this->body += bytes; }
 
@@ -131,7 +133,7 @@
     {
         if (this->stopped)
             return;
-        this->askAfter(this->ownGap());
+        this->probeAfter(this->targetProbeInterval());
         const Result<EngineLoad> load = this->prober.dialect.decodeLoad(this->body);
         if (!end.whole || this->status != okStatus || !load) {
             this->prober.sharing.onNoLoad(this->target.id);
@@ -150,18 +152,19 @@
     bool stopped = false;
 };
 
-LoadProber::LoadProber(asio::io_context &loop, const Clock &time, const Dialect &words,
-                       EngineChoice &told, LoadSharing &shared, SelfReports &heard, LimitGate &gate,
-                       std::mt19937_64 &source, std::chrono::milliseconds askGap)
+LoadProber::LoadProber(asio::io_context &loop, const Clock &time, const Dialect &platform,
+                       EngineChoice &engineChoice, LoadSharing &loadSharing, SelfReports &reports,
+                       LimitGate &gate, std::mt19937_64 &source,
+                       std::chrono::milliseconds timeBetweenProbes)
     : context(loop)
     , clock(time)
-    , dialect(words)
-    , engines(told)
-    , sharing(shared)
-    , selfReports(heard)
+    , dialect(platform)
+    , engines(engineChoice)
+    , sharing(loadSharing)
+    , selfReports(reports)
     , limits(gate)
     , random(source)
-    , gap(askGap)
+    , interval(timeBetweenProbes)
 {
 }
 
--- a/lib/Proxy/peerlink.cpp
+++ b/lib/Proxy/peerlink.cpp
@@ -15,21 +15,21 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds tickGap{100};
+constexpr std::chrono::milliseconds tickInterval{100};
 
-// Between two looks at datagrams that wait; 5 KB leave in it.
-constexpr std::chrono::milliseconds paceGap{5};
+// Interval at which queued datagrams are sent; the pacer allows 5 KB in it.
+constexpr std::chrono::milliseconds paceInterval{5};
 
-// Large datagrams that may wait, for two changes told to 340 instances.
-constexpr std::size_t mostPaced = 512;
+// Maximum number of queued large datagrams: enough for two changes sent to 340 instances.
+constexpr std::size_t maxPacedDatagrams = 512;
 
-// Values from this size on are compressed where that makes them smaller. A configuration of fifty
-// routes has 12 KB and fits into one datagram then; passed on as it is, or not at all, each of 87
-// instances would read it from the store, 85 calls for every change.
-constexpr std::size_t leastCompressed = 512;
+// Values of at least this size are compressed if that makes them smaller. A configuration of fifty
+// routes has 12 KB and then fits into one datagram. If it did not fit or were not shared, each of
+// 87 instances would read it from the store, 85 calls for every change.
+constexpr std::size_t minCompressedBytes = 512;
 
-// The store's own bound on a value.
-constexpr std::size_t mostValueBytes = 1U << 20U;
+// The store's limit on the size of a value.
+constexpr std::size_t maxValueBytes = 1U << 20U;
 
 std::int64_t newIncarnation()
 {
@@ -62,7 +62,7 @@
     return static_cast<std::uint32_t>(std::max<std::int64_t>(0, number));
 }
 
-// A value as it goes to the peers.
+// A value as encoded for the peers.
 struct PackedValue
 {
     std::string bytes;
@@ -71,7 +71,7 @@
 
 PackedValue pack(const std::string &value)
 {
-    if (value.size() < leastCompressed)
+    if (value.size() < minCompressedBytes)
         return {value, 0};
     std::string packed = compressed(value);
     if (packed.empty() || packed.size() >= value.size())
@@ -83,7 +83,7 @@
 {
     if (item.plainSize == 0)
         return item.value;
-    return decompressed(item.value, static_cast<std::size_t>(item.plainSize), mostValueBytes);
+    return decompressed(item.value, static_cast<std::size_t>(item.plainSize), maxValueBytes);
 }
 
 SharedChanges toChanges(const wire::StoreNotice &notice)
@@ -96,7 +96,7 @@
     changes.era = static_cast<std::uint64_t>(notice.era);
     for (const wire::StoreItemNotice &item : notice.items) {
         std::optional<std::string> value = unpack(item);
-        // Whoever cannot read it asks the store, as for an item that was left out.
+        // If the value cannot be decoded, the store is queried, as for an omitted item.
         changes.incomplete = changes.incomplete || !value;
         if (value)
             changes.items.push_back({item.key, std::move(*value),
@@ -135,7 +135,7 @@
 
 } // namespace
 
-std::vector<SharedChanges> splitChanges(const SharedChanges &changes, std::size_t mostBytes)
+std::vector<SharedChanges> splitChanges(const SharedChanges &changes, std::size_t maxBytes)
 {
     std::vector<StoreItem> items = changes.items;
     std::sort(items.begin(), items.end(), [](const StoreItem &left, const StoreItem &right) {
@@ -146,9 +146,9 @@
     std::size_t bytes = 0;
     for (StoreItem &item : items) {
         const std::size_t whole = item.key.size() + pack(item.value).bytes.size();
-        const bool tooLarge = whole > mostBytes;
+        const bool tooLarge = whole > maxBytes;
         const std::size_t size = tooLarge ? 0 : whole;
-        if (bytes + size > mostBytes && !part.items.empty()) {
+        if (bytes + size > maxBytes && !part.items.empty()) {
             parts.push_back(part);
             part = {part.to, part.to, {}, false, changes.afterOutage, changes.era};
             bytes = 0;
@@ -165,11 +165,11 @@
     return parts;
 }
 
-PeerLink::PeerLink(asio::io_context &loop, const Clock &time, PeerLinkSettings given,
-                   std::uint64_t seed, EngineShares &shared, PeerLinkListener &told)
-    : settings(std::move(given))
+PeerLink::PeerLink(asio::io_context &loop, const Clock &time, PeerLinkSettings linkSettings,
+                   std::uint64_t seed, EngineShares &engineShares, PeerLinkListener &linkListener)
+    : settings(std::move(linkSettings))
     , keys(this->settings.keys)
-    , listener(told)
+    , listener(linkListener)
     , socket(loop)
     , timer(loop)
     , pacer(time)
@@ -177,7 +177,7 @@
     , membership(describeSelf(this->settings), time, seed, this->keys, *this, *this)
     , spread(this->settings.dataCentre)
     , random(seed)
-    , shares(shared)
+    , shares(engineShares)
 {
 }
 
@@ -202,9 +202,9 @@
 {
     this->membership.tick();
     if (this->membersChanged)
-        this->takeMembers();
+        this->updatePeers();
     this->sendReleases();
-    this->timer.expires_after(tickGap);
+    this->timer.expires_after(tickInterval);
     this->timer.async_wait([this](const asio::error_code &failure) {
         if (!failure)
             this->tick();
@@ -218,21 +218,22 @@
             [this](const asio::error_code &failure, std::size_t bytes) {
                 if (failure == asio::error::operation_aborted)
                     return;
-                // A datagram that found no listener comes back as an error of the socket.
+                // If nobody listens at the destination of a datagram, the socket reports an error
+                // here.
                 if (!failure)
                     this->membership.receive(textOf(this->sender), {this->buffer.data(), bytes});
                 this->receiveNext();
             });
 }
 
-// Whatever is large waits its turn; a queue that is full drops what comes, as a link would.
+// Queues large datagrams. A full queue drops new ones, as a congested link would.
 void PeerLink::send(std::string_view address, std::string datagram)
 {
     if (this->paced.empty() && this->pacer.take(datagram.size()))
         return this->sendNow(address, datagram);
     if (datagram.size() <= DatagramPacerOptions().smallBytes)
         return this->sendNow(address, datagram);
-    if (this->paced.size() >= mostPaced)
+    if (this->paced.size() >= maxPacedDatagrams)
         return;
     this->paced.emplace_back(address, std::move(datagram));
     if (this->paced.size() == 1)
@@ -247,7 +248,7 @@
     }
     if (this->paced.empty())
         return;
-    this->paceTimer.expires_after(paceGap);
+    this->paceTimer.expires_after(paceInterval);
     this->paceTimer.async_wait([this](const asio::error_code &failure) {
         if (!failure)
             this->sendPaced();
@@ -259,18 +260,18 @@
     const auto endpoint = parseDatagramEndpoint(address);
     if (!endpoint)
         return;
-    asio::error_code ignored; // datagrams may be lost anyway, and the protocol allows for it
+    asio::error_code ignored; // the protocol tolerates lost datagrams
     this->socket.send_to(asio::buffer(datagram), endpoint.value(), 0, ignored);
 }
 
-// At a common start hundreds of members are learnt of within a second; they are taken together at
-// the next tick.
+// When a fleet starts, hundreds of members are discovered within a second. The changes are batched
+// until the next tick.
 void PeerLink::onMembersChanged()
 {
     this->membersChanged = true;
 }
 
-void PeerLink::takeMembers()
+void PeerLink::updatePeers()
 {
     this->membersChanged = false;
     std::vector<Member> others = this->membership.members();
@@ -281,7 +282,7 @@
     names.reserve(others.size());
     for (const Member &member : others)
         names.push_back(member.name);
-    // A member that started again may have moved to another data centre.
+    // A member that restarted may have moved to another data centre.
     this->spread.setPeers(others);
     if (names == this->peers)
         return;
@@ -302,7 +303,7 @@
     notice.copied = copied;
     wire::EntryNotices message;
     message.placements.push_back(std::move(notice));
-    this->tellSharers(engine, message);
+    this->sendToAssignees(engine, message);
 }
 
 void PeerLink::announceReleased(std::string_view engine, std::uint32_t tokens)
@@ -314,14 +315,14 @@
 {
     wire::EntryNotices message;
     message.failedEngines.emplace_back(engine);
-    this->tellSharers(engine, message);
+    this->sendToAssignees(engine, message);
 }
 
 void PeerLink::announceLeaving(std::string_view target)
 {
     wire::EntryNotices message;
     message.leavingTargets.emplace_back(target);
-    this->tellPeers(message);
+    this->broadcast(message);
 }
 
 void PeerLink::announceCold(std::string_view target, Duration left)
@@ -331,53 +332,54 @@
     notice.leftMicros = std::chrono::duration_cast<std::chrono::microseconds>(left).count();
     wire::EntryNotices message;
     message.coldTargets.push_back(std::move(notice));
-    this->tellPeers(message);
+    this->broadcast(message);
 }
 
-void PeerLink::tellAll(const QuarantineNews &news)
+void PeerLink::broadcastQuarantine(const QuarantineNews &news)
 {
     wire::EntryNotices message;
     message.quarantine = toNotices(news);
-    this->tellPeers(message);
+    this->broadcast(message);
 }
 
-void PeerLink::tellSome(const QuarantineNews &news)
+void PeerLink::sendQuarantineToSample(const QuarantineNews &news)
 {
     wire::EntryNotices message;
     message.quarantine = toNotices(news);
-    this->tellDrawn(message);
+    this->sendToSample(message);
 }
 
-void PeerLink::tellDrawn(const wire::EntryNotices &message)
+void PeerLink::sendToSample(const wire::EntryNotices &message)
 {
-    std::vector<std::string> drawn;
-    std::sample(this->peers.begin(), this->peers.end(), std::back_inserter(drawn), drawnPeers,
-                this->random);
-    this->membership.sendPolicy(drawn, encodeMessage(message));
+    std::vector<std::string> sampledPeers;
+    std::sample(this->peers.begin(), this->peers.end(), std::back_inserter(sampledPeers),
+                drawnPeers, this->random);
+    this->membership.sendPolicy(sampledPeers, encodeMessage(message));
 }
 
-void PeerLink::tellLimits(std::string_view peer, const LimitNews &news)
+void PeerLink::sendLimits(std::string_view peer, const LimitNews &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
     this->membership.sendPolicy(peer, encodeMessage(message));
 }
 
-void PeerLink::tellAllLimits(const LimitNews &news)
+void PeerLink::broadcastLimits(const LimitNews &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
-    this->tellPeers(message);
+    this->broadcast(message);
 }
 
-void PeerLink::tellSomeLimits(const LimitNews &news)
+void PeerLink::sendLimitsToSample(const LimitNews &news)
 {
     wire::EntryNotices message;
     message.limits = toNotices(news);
-    this->tellDrawn(message);
+    this->sendToSample(message);
 }
 
-// One message for all where all hear of every engine, else one for each engine.
+// Sends a single message if all instances receive notices for every engine, otherwise one per
+// engine.
 void PeerLink::sendReleases()
 {
     wire::EntryNotices message;
@@ -388,12 +390,12 @@
         message.releases.push_back(std::move(notice));
         if (this->shares.isWhole())
             continue;
-        this->tellSharers(engine, message);
+        this->sendToAssignees(engine, message);
         message.releases.clear();
     }
     this->releases.clear();
     if (!message.releases.empty())
-        this->tellPeers(message);
+        this->broadcast(message);
 }
 
 void PeerLink::announce(std::string_view engine, const EngineLoad &load)
@@ -408,36 +410,36 @@
     notice.firstWaitingTokens = load.firstWaitingTokens;
     wire::EntryNotices message;
     message.loads.push_back(std::move(notice));
-    this->tellSharers(engine, message);
+    this->sendToAssignees(engine, message);
 }
 
-// A value that is larger even when compressed goes to its readers straight from the store: a
-// datagram has its limits, and a configuration of hundreds of routes would be sent to every
-// instance by each that read it.
-constexpr std::size_t mostSharedBytes = 4096;
+// Values that are larger even when compressed are not shared, so instances read them directly from
+// the store: datagrams are limited in size, and each reader would send a configuration of hundreds
+// of routes to every instance.
+constexpr std::size_t maxSharedBytes = 4096;
 
-void PeerLink::shareStore(const SharedChanges &changes)
+void PeerLink::shareStoreChanges(const SharedChanges &changes)
 {
-    for (const SharedChanges &part : splitChanges(changes, mostSharedBytes)) {
+    for (const SharedChanges &part : splitChanges(changes, maxSharedBytes)) {
         wire::EntryNotices message = toNotices(part);
-        this->tellPeers(message);
+        this->broadcast(message);
     }
 }
 
-void PeerLink::askFreshness(std::string_view peer, std::int64_t askedAt)
+void PeerLink::sendFreshnessQuery(std::string_view peer, std::int64_t requestedAt)
 {
     wire::FreshnessAsk ask;
-    ask.askedAt = askedAt;
+    ask.askedAt = requestedAt;
     wire::EntryNotices message;
     message.asks.push_back(ask);
     this->membership.sendPolicy(peer, encodeMessage(message));
 }
 
-void PeerLink::answerFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                               std::uint64_t era, std::uint64_t revision)
+void PeerLink::sendFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                                   std::uint64_t era, std::uint64_t revision)
 {
     wire::FreshnessAnswer answer;
-    answer.askedAt = askedAt;
+    answer.askedAt = requestedAt;
     answer.ageMicros = std::chrono::duration_cast<std::chrono::microseconds>(age).count();
     answer.revision = static_cast<std::int64_t>(revision);
     answer.era = static_cast<std::int64_t>(era);
@@ -446,7 +448,7 @@
     this->membership.sendPolicy(peer, encodeMessage(message));
 }
 
-void PeerLink::tellPeers(wire::EntryNotices &message)
+void PeerLink::broadcast(wire::EntryNotices &message)
 {
     const NoticeSpread::Ways ways = this->spread.ways(this->random);
     this->membership.sendPolicy(ways.direct, encodeMessage(message));
@@ -454,14 +456,14 @@
     this->membership.sendPolicy(ways.relays, encodeMessage(message));
 }
 
-void PeerLink::tellSharers(std::string_view engine, wire::EntryNotices &message)
+void PeerLink::sendToAssignees(std::string_view engine, wire::EntryNotices &message)
 {
     if (this->shares.isWhole())
-        return this->tellPeers(message);
+        return this->broadcast(message);
     this->membership.sendPolicy(this->shares.othersOf(engine), encodeMessage(message));
 }
 
-void PeerLink::passOn(std::string_view from, wire::EntryNotices &message)
+void PeerLink::relayMessage(std::string_view from, wire::EntryNotices &message)
 {
     message.relay = false;
     message.origin = from;
@@ -474,8 +476,8 @@
     if (!message)
         return;
     if (message->relay)
-        this->passOn(from, *message);
-    // Failures count by instance, so they must not be taken for those of whoever passes them on.
+        this->relayMessage(from, *message);
+    // Failures are counted per instance, so they are attributed to the origin, not the relay.
     const std::string_view origin =
             message->origin.empty() ? from : std::string_view(message->origin);
     for (const wire::PlacementNotice &notice : message->placements) {
@@ -509,12 +511,12 @@
     for (const wire::StoreNotice &notice : message->stores)
         this->listener.onStoreFromPeer(toChanges(notice));
     for (const wire::FreshnessAsk &ask : message->asks)
-        this->listener.onFreshnessAsked(from, ask.askedAt);
+        this->listener.onFreshnessQuery(from, ask.askedAt);
     for (const wire::FreshnessAnswer &answer : message->answers) {
-        this->listener.onFreshness(from, answer.askedAt,
-                                   std::chrono::microseconds(answer.ageMicros),
-                                   static_cast<std::uint64_t>(answer.era),
-                                   static_cast<std::uint64_t>(answer.revision));
+        this->listener.onFreshnessAnswer(from, answer.askedAt,
+                                         std::chrono::microseconds(answer.ageMicros),
+                                         static_cast<std::uint64_t>(answer.era),
+                                         static_cast<std::uint64_t>(answer.revision));
     }
 }
 
--- a/lib/Proxy/plainexchange.cpp
+++ b/lib/Proxy/plainexchange.cpp
@@ -9,59 +9,60 @@
 
 namespace {
 
-// An idempotent request is given to a second target once the first has taken twice the objective:
-// an engine that hangs would otherwise cost the caller its whole deadline. The least keeps the tail
-// of ordinary work (five times its mean) from being repeated.
-constexpr int objectivesPerTry = 2;
-constexpr std::chrono::milliseconds leastTry{250};
+// An idempotent request is sent to a second target once the first has taken twice the objective;
+// otherwise a target that hangs would use up the caller's whole deadline. The minimum keeps the
+// slowest ordinary requests (five times the mean) from being repeated.
+constexpr int attemptTimeoutObjectives = 2;
+constexpr std::chrono::milliseconds minAttemptTimeout{250};
 
-// Answers larger than this are not buffered; plain services answer with a few kilobytes.
-constexpr std::size_t mostAnswerBytes = 8U << 20U;
+// Larger answers are not buffered and fail the request; plain services answer with a few kilobytes.
+constexpr std::size_t maxAnswerBytes = 8U << 20U;
 
 constexpr int serverErrorStatus = 500;
 
-// A request with one answer. The answer is taken whole before any of it is passed on, so that a
-// broken one can be replaced by an honest failure, or by another target's if it may run again.
+// A request with a single, non-streaming answer. The answer is buffered completely before it is
+// forwarded, so that a broken answer can be replaced by an error or, if the request may run again,
+// by another target's answer.
 class PlainExchange final : public Exchange, public TargetCallListener
 {
 public:
-    PlainExchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> from,
-                  AdmittedRequest given)
-        : Exchange(shared, std::move(from), std::move(given))
-        , tryTimer(shared.loop)
+    PlainExchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> connection,
+                  AdmittedRequest admittedRequest)
+        : Exchange(shared, std::move(connection), std::move(admittedRequest))
+        , attemptTimer(shared.loop)
     {
     }
 
     void onTargetLeaving(const TargetEntry &, std::string_view) override {}
     void onDataCentreOutOfUse(std::string_view) override {}
 
-    // Its connection tells by itself: an answer may still come from the new life.
+    // The connection itself reports a loss; the restarted target may still answer the request.
     void onTargetRestarted(const TargetEntry &) override {}
     void onCallerWritable() override {}
 
 protected:
     void attempt() override
     {
-        const std::vector<const TargetEntry *> targets = this->untried();
+        const std::vector<const TargetEntry *> targets = this->untriedTargets();
         std::vector<std::string_view> names;
         names.reserve(targets.size());
         for (const TargetEntry *entry : targets)
             names.push_back(entry->id);
         if (names.empty() && this->failedAnswer)
-            return this->passOnFailure();
-        if (names.empty() && this->shortestRest())
-            return this->refuseUntilRested();
+            return this->forwardFailure();
+        if (names.empty() && this->shortestPause())
+            return this->refuseAllPaused();
         const int chosen = names.empty() ? -1 : this->context.health.choose(names);
         if (chosen < 0)
             return this->giveUp(names.empty() ? ResultCode::NoTarget : ResultCode::Overloaded,
-                                this->lackOfTargets());
-        this->whenPermitted(*targets[static_cast<std::size_t>(chosen)],
-                            [this](const TargetEntry &entry) { this->send(entry); });
+                                this->noTargetReason());
+        this->sendWhenPermitted(*targets[static_cast<std::size_t>(chosen)],
+                                [this](const TargetEntry &entry) { this->send(entry); });
     }
 
     void cancelCalls() override
     {
-        this->tryTimer.cancel();
+        this->attemptTimer.cancel();
         this->endCall(false);
     }
 
@@ -90,24 +91,24 @@
                            {"digest", this->digest()},
                            {"try", this->sends + 1},
                            {"left_ms", static_cast<std::int64_t>(this->timeLeft().count())}});
-        TargetRequest made = this->makeRequest(entry, {}, endpoint.value());
-        made.connectTimeout = std::clamp(this->timeLeft() / 3, std::chrono::milliseconds(50),
-                                         std::chrono::milliseconds(500));
+        TargetRequest outgoing = this->makeRequest(entry, {}, endpoint.value());
+        outgoing.connectTimeout = std::clamp(this->timeLeft() / 3, std::chrono::milliseconds(50),
+                                             std::chrono::milliseconds(500));
         const auto self = std::static_pointer_cast<PlainExchange>(this->shared_from_this());
-        this->call = TargetCall::start(this->context.loop, std::move(made),
+        this->call = TargetCall::start(this->context.loop, std::move(outgoing),
                                        std::weak_ptr<TargetCallListener>(self));
-        this->watchTry();
+        this->watchAttempt();
     }
 
-    void watchTry()
+    void watchAttempt()
     {
         if (!mayRunAgain(this->route().kind) || this->runs + 1 >= this->route().maxAttempts)
             return;
-        this->tryTimer.expires_after(
-                std::max(this->route().objective * objectivesPerTry, leastTry));
-        this->tryTimer.async_wait([self = this->shared_from_this(),
-                                   this](const asio::error_code &failure) {
-            if (failure || this->isFinished() || !this->mayReplaceSlowTry() ||
+        this->attemptTimer.expires_after(
+                std::max(this->route().objective * attemptTimeoutObjectives, minAttemptTimeout));
+        this->attemptTimer.async_wait([self = this->shared_from_this(),
+                                       this](const asio::error_code &failure) {
+            if (failure || this->isFinished() || !this->mayReplaceSlowAttempt() ||
                 !this->context.retries.take(this->serviceName))
                 return;
             ++this->sends;
@@ -119,10 +120,11 @@
         });
     }
 
-    // A target that names a limit may turn the second try down when the first one has been ended.
-    bool mayReplaceSlowTry() const
+    // A target with a rate limit may refuse the second attempt after the first has been cancelled,
+    // so a slow attempt is only replaced if some untried target has no limit.
+    bool mayReplaceSlowAttempt() const
     {
-        const auto targets = this->untried();
+        const auto targets = this->untriedTargets();
         return std::any_of(targets.begin(), targets.end(), [this](const TargetEntry *entry) {
             return !this->context.limits.limitOf(entry->id);
         });
@@ -131,60 +133,62 @@
     void onAnswerHead(MessageHead head) override
     {
         this->answer = std::move(head);
-        this->context.selfReports.hearServed(this->target.id, this->answer,
-                                             this->context.clock.now() - this->sentAt);
+        this->context.selfReports.recordServedAnswer(this->target.id, this->answer,
+                                                     this->context.clock.now() - this->sentAt);
     }
 
     void onAnswerBody(std::string_view bytes) override
     {
-        if (this->body.size() + bytes.size() > mostAnswerBytes) {
+        if (this->body.size() + bytes.size() > maxAnswerBytes) {
             this->uncertain = true;
             this->endCall(false);
-            return this->answerOwn(ResultCode::TargetGarbled, "answer_too_large");
+            return this->answerWithResult(ResultCode::TargetGarbled, "answer_too_large");
         }
         this->body += bytes;
     }
 
     void onCallEnd(const TargetCallEnd &end) override
     {
-        this->tryTimer.cancel();
+        this->attemptTimer.cancel();
         const bool sent = end.bytesSent;
-        const AnswerFacts said =
+        const AnswerFacts answerFacts =
                 this->context.dialect.describeAnswer(this->answer.status, this->answer.headers);
-        const bool ours = said.attemptId.empty() || said.attemptId == this->facts().attemptId;
-        const bool good = end.whole && ours;
-        const bool refused = good && said.notExecuted;
+        const bool idMatches =
+                answerFacts.attemptId.empty() || answerFacts.attemptId == this->facts().attemptId;
+        const bool valid = end.whole && idMatches;
+        const bool refused = valid && answerFacts.notExecuted;
         this->sends += sent ? 1 : 0;
         this->runs += sent && !refused ? 1 : 0;
-        const bool failedHere = !good || this->answer.status >= serverErrorStatus;
-        this->endCall(refused ? said.misdirected : failedHere);
+        const bool failedHere = !valid || this->answer.status >= serverErrorStatus;
+        this->endCall(refused ? answerFacts.misdirected : failedHere);
         if (refused)
             return this->retryOr(ResultCode::TargetFull, "refused_by_target");
         if (!sent)
             return this->retryOr(ResultCode::TargetUnreachable, end.reason);
-        if (good && !refused)
-            this->noteRanWell();
-        if (good && this->answer.status < serverErrorStatus)
-            return this->answerWhole(this->answer, this->body, this->target.id);
+        if (valid && !refused)
+            this->reportSafeRun();
+        if (valid && this->answer.status < serverErrorStatus)
+            return this->forwardAnswer(this->answer, this->body, this->target.id);
         this->uncertain = true;
         if (end.lostConnection && this->answer.status == 0)
-            this->noteLostUnanswered(this->target, this->sentAt);
-        if (good)
-            return this->retryOrPassOn();
-        this->retryOr(ours ? ResultCode::TargetLost : ResultCode::TargetGarbled,
-                      ours ? end.reason : "answer_to_another_request");
+            this->reportLostUnanswered(this->target, this->sentAt);
+        if (valid)
+            return this->retryOrForwardFailure();
+        this->retryOr(idMatches ? ResultCode::TargetLost : ResultCode::TargetGarbled,
+                      idMatches ? end.reason : "answer_to_another_request");
     }
 
     bool mayRetry()
     {
         if (this->uncertain && !mayRunAgain(this->route().kind))
             return false;
-        return this->runs < this->route().maxAttempts && !this->untried().empty();
+        return this->runs < this->route().maxAttempts && !this->untriedTargets().empty();
     }
 
     void retryOr(ResultCode code, std::string_view reason)
     {
-        // A connection that was never made is no repeat for the service and costs no budget.
+        // If no connection was made, the service did not receive the request, so trying another
+        // target is not charged to the retry budget.
         if (this->mayRetry() && (code == ResultCode::TargetUnreachable ||
                                  this->context.retries.take(this->serviceName))) {
             this->logDecision("request_retried", {{"reason", reason}, {"target", this->target.id}});
@@ -193,7 +197,7 @@
         this->giveUp(code, reason);
     }
 
-    void retryOrPassOn()
+    void retryOrForwardFailure()
     {
         if (this->mayRetry() && this->context.retries.take(this->serviceName)) {
             this->logDecision("request_retried",
@@ -201,17 +205,17 @@
             this->failedAnswer = true;
             return this->attempt();
         }
-        this->passOnFailure();
+        this->forwardFailure();
     }
 
-    // The target's own failure is what the caller gets if no other target takes the request.
-    void passOnFailure() { this->answerWhole(this->answer, this->body, this->target.id); }
+    // Forwards the target's own failure answer because no other target can run the request.
+    void forwardFailure() { this->forwardAnswer(this->answer, this->body, this->target.id); }
 
-    // A refusal says "not run", which must hold for every target that was tried.
+    // A refusal has the outcome "not run", which must be true of every target that was tried.
     void giveUp(ResultCode code, std::string_view reason)
     {
         const bool refusal = describe(code).outcome == Outcome::NotRun;
-        this->answerOwn(refusal && this->uncertain ? ResultCode::TargetLost : code, reason);
+        this->answerWithResult(refusal && this->uncertain ? ResultCode::TargetLost : code, reason);
     }
 
     void endCall(bool failed)
@@ -224,15 +228,14 @@
                                    this->context.clock.now() - this->sentAt);
     }
 
-    asio::steady_timer tryTimer;
+    asio::steady_timer attemptTimer;
     std::shared_ptr<TargetCall> call;
     TargetEntry target;
     TimePoint sentAt;
     MessageHead answer;
     std::string body;
-    bool failedAnswer =
-            false;          // the answer at hand is a failure, in place of which another is sought
-    bool uncertain = false; // some target may have run the request
+    bool failedAnswer = false; // the buffered answer is a failure; another target is being tried
+    bool uncertain = false;    // an earlier target may have run the request
 };
 
 } // namespace
--- a/lib/Proxy/readduty.cpp
+++ b/lib/Proxy/readduty.cpp
@@ -6,24 +6,24 @@
 
 namespace jaytrack {
 
-ReadDuty::ReadDuty(const Clock &time, std::string ownName, ReadDutyOptions given,
+ReadDuty::ReadDuty(const Clock &time, std::string ownName, ReadDutyOptions dutyOptions,
                    std::mt19937_64 &source)
     : clock(time)
     , name(std::move(ownName))
-    , options(given)
+    , options(dutyOptions)
     , random(source)
     , startedAt(time.now())
     , answeredAt(time.now())
 {
 }
 
-// Every instance ranks all by the same hash, so those that agree on who is there agree on who
-// reads.
+// Every instance ranks all instances by the same hash (rendezvous hashing), so instances with the
+// same membership view agree on the readers.
 void ReadDuty::setPeers(std::span<const std::string> others)
 {
     const bool wasReader = this->reader && !this->awaitsPeers();
     this->peers.assign(others.begin(), others.end());
-    this->lastGood.clear();
+    this->lastFreshReader.clear();
     std::vector<std::pair<std::uint64_t, std::string>> ranked;
     ranked.emplace_back(placementHash("reader/" + this->name), this->name);
     for (const std::string &peer : others)
@@ -38,9 +38,9 @@
         else
             this->readers.push_back(std::move(who));
     }
-    // Whoever reads goes on until the others have had time to tell it.
+    // A former reader keeps reading until the new readers have had time to send it updates.
     if (wasReader && !this->reader)
-        this->readUntil = this->clock.now() + this->options.handOverTime;
+        this->readUntil = this->clock.now() + this->options.handoverTime;
 }
 
 bool ReadDuty::reads(Duration age)
@@ -49,28 +49,29 @@
     if (this->awaitsPeers())
         return false;
     if (this->reader)
-        this->readUntil = now + this->options.readAtLeast;
-    else if (age > this->options.mostAge && now >= this->readUntil && this->isDrawn())
-        this->readUntil = this->drawnUntil = now + this->options.readAtLeast;
+        this->readUntil = now + this->options.minReadTime;
+    else if (age > this->options.maxAge && now >= this->readUntil && this->drawsToRead())
+        this->readUntil = this->chosenUntil = now + this->options.minReadTime;
     return now < this->readUntil;
 }
 
 bool ReadDuty::awaitsPeers() const
 {
-    return this->peers.empty() && this->clock.now() - this->startedAt < this->options.aloneAfter;
+    return this->peers.empty() &&
+           this->clock.now() - this->startedAt < this->options.peerDiscoveryTime;
 }
 
-bool ReadDuty::isDrawn()
+bool ReadDuty::drawsToRead()
 {
     const TimePoint now = this->clock.now();
-    if (now - this->answeredAt > this->options.unansweredTime)
+    if (now - this->answeredAt > this->options.peerAnswerTimeout)
         return true;
     if (now < this->nextDraw)
         return false;
-    this->nextDraw = now + this->options.readAtLeast;
+    this->nextDraw = now + this->options.minReadTime;
     const std::size_t fleet = this->peers.size() + 1;
     return std::uniform_int_distribution<std::size_t>(1, fleet)(this->random) <=
-           this->options.readersInTrouble;
+           this->options.readersWhenStale;
 }
 
 void ReadDuty::answered(std::string_view peer, Duration age)
@@ -79,23 +80,23 @@
     const bool isReader =
             std::find(this->readers.begin(), this->readers.end(), peer) != this->readers.end();
     if (isReader && !this->isOld(age))
-        this->lastGood = peer;
-    else if (this->lastGood == peer)
-        this->lastGood.clear();
+        this->lastFreshReader = peer;
+    else if (this->lastFreshReader == peer)
+        this->lastFreshReader.clear();
 }
 
 bool ReadDuty::isOld(Duration age) const
 {
-    return age > this->options.mostAge / 2;
+    return age > this->options.maxAge / 2;
 }
 
 std::string ReadDuty::whomToAsk(Duration age)
 {
     const bool old = this->isOld(age);
-    if (!old && !this->lastGood.empty())
-        return this->lastGood;
-    this->askAnybody = old && !this->askAnybody;
-    const std::vector<std::string> &among = this->askAnybody ? this->peers : this->readers;
+    if (!old && !this->lastFreshReader.empty())
+        return this->lastFreshReader;
+    this->queryAnyPeer = old && !this->queryAnyPeer;
+    const std::vector<std::string> &among = this->queryAnyPeer ? this->peers : this->readers;
     return among.empty() ? std::string() : among[this->random() % among.size()];
 }
 
--- a/lib/Proxy/selfreports.cpp
+++ b/lib/Proxy/selfreports.cpp
@@ -11,40 +11,41 @@
 
 } // namespace
 
-void SelfReports::hear(std::string_view target, const MessageHead &answer)
+void SelfReports::recordAnswer(std::string_view target, const MessageHead &answer)
 {
-    this->hearFacts(target, this->dialect.describeAnswer(answer.status, answer.headers));
+    this->recordFacts(target, this->dialect.describeAnswer(answer.status, answer.headers));
 }
 
-// A failure may leave a limit out, as may the answer to a question about load; only a served
-// request tells that the target is no longer in need.
-void SelfReports::hearServed(std::string_view target, const MessageHead &answer, Duration sentAgo)
+// A failure answer or the answer to a load probe may omit the limit. Only the answer to a request
+// that was served shows that the target no longer needs one.
+void SelfReports::recordServedAnswer(std::string_view target, const MessageHead &answer,
+                                     Duration sentAgo)
 {
-    const AnswerFacts said = this->dialect.describeAnswer(answer.status, answer.headers);
-    this->hearFacts(target, said);
+    const AnswerFacts facts = this->dialect.describeAnswer(answer.status, answer.headers);
+    this->recordFacts(target, facts);
     const bool served = answer.status >= firstGoodStatus && answer.status < afterGoodStatus;
-    if (served && said.namesNoLimit)
+    if (served && facts.namesNoLimit)
         this->limits.namedNone(target, sentAgo);
 }
 
-void SelfReports::hearFacts(std::string_view target, const AnswerFacts &said)
+void SelfReports::recordFacts(std::string_view target, const AnswerFacts &facts)
 {
-    if (said.leaveAloneFor) {
-        this->pauses.leaveAlone(target, *said.leaveAloneFor);
+    if (facts.leaveAloneFor) {
+        this->pauses.leaveAlone(target, *facts.leaveAloneFor);
         logEvent(Severity::Info, "target_wants_rest",
                  {{"target", target},
-                  {"for_ms", static_cast<std::int64_t>(said.leaveAloneFor->count())}});
+                  {"for_ms", static_cast<std::int64_t>(facts.leaveAloneFor->count())}});
     }
-    if (said.coldFor && this->cold.heard(target, *said.coldFor)) {
+    if (facts.coldFor && this->cold.heard(target, *facts.coldFor)) {
         logEvent(Severity::Info, "target_cold",
                  {{"target", target},
-                  {"for_ms", static_cast<std::int64_t>(said.coldFor->count())},
+                  {"for_ms", static_cast<std::int64_t>(facts.coldFor->count())},
                   {"source", "answer"}});
-        this->notices.announceCold(target, *said.coldFor);
+        this->notices.announceCold(target, *facts.coldFor);
     }
-    if (said.limitPerSecond)
-        this->limits.named(target, *said.limitPerSecond);
-    if (said.leaving && this->directory.markLeaving(target, "told_in_answer"))
+    if (facts.limitPerSecond)
+        this->limits.named(target, *facts.limitPerSecond);
+    if (facts.leaving && this->directory.markLeaving(target, "told_in_answer"))
         this->notices.announceLeaving(target);
 }
 
--- a/lib/Proxy/startupqueue.cpp
+++ b/lib/Proxy/startupqueue.cpp
@@ -7,57 +7,58 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds lookGap{10};
+constexpr std::chrono::milliseconds checkInterval{10};
 
 } // namespace
 
 StartupQueue::StartupQueue(asio::io_context &loop, const Clock &time,
-                           std::function<bool()> knowsEnough, Serve served,
-                           StartupQueueOptions given)
+                           std::function<bool()> hasInitialData, Serve served,
+                           StartupQueueOptions queueOptions)
     : clock(time)
-    , isKnown(std::move(knowsEnough))
+    , isKnown(std::move(hasInitialData))
     , serve(std::move(served))
-    , options(given)
+    , options(queueOptions)
     , startedAt(time.now())
     , timer(loop)
 {
 }
 
-// How much longer a request may wait that arrives now.
-Duration StartupQueue::longestWait(std::optional<std::chrono::milliseconds> callersTime) const
+// Returns how long a request that arrives now may wait.
+Duration StartupQueue::maxWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const
 {
-    const Duration left = this->startedAt + this->options.waitsAfterStart - this->clock.now();
-    if (!callersTime)
+    const Duration left = this->startedAt + this->options.maxWaitAfterStart - this->clock.now();
+    if (!callerTimeLimit)
         return left;
-    const std::chrono::duration<double, std::milli> part = *callersTime * this->options.partOfTime;
+    const std::chrono::duration<double, std::milli> part =
+            *callerTimeLimit * this->options.maxTimeFraction;
     return std::min(left, std::chrono::duration_cast<Duration>(part));
 }
 
-bool StartupQueue::mayWait(std::optional<std::chrono::milliseconds> callersTime) const
+bool StartupQueue::canWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const
 {
-    return this->waiting.size()<this->options.mostRequests &&this->longestWait(callersTime)>
+    return this->waiting.size()<this->options.maxRequests &&this->maxWait(callerTimeLimit)>
             Duration(0);
 }
 
 void StartupQueue::add(std::shared_ptr<CallerConnection> connection, CallerRequest request,
-                       std::optional<std::chrono::milliseconds> callersTime)
+                       std::optional<std::chrono::milliseconds> callerTimeLimit)
 {
-    const TimePoint until = this->clock.now() + this->longestWait(callersTime);
+    const TimePoint until = this->clock.now() + this->maxWait(callerTimeLimit);
     this->waiting.push_back({std::move(connection), std::move(request), until});
     if (this->waiting.size() == 1)
-        this->lookAgain();
+        this->scheduleCheck();
 }
 
-void StartupQueue::lookAgain()
+void StartupQueue::scheduleCheck()
 {
-    this->timer.expires_after(lookGap);
+    this->timer.expires_after(checkInterval);
     this->timer.async_wait([this](const asio::error_code &failure) {
         if (!failure)
-            this->look();
+            this->check();
     });
 }
 
-void StartupQueue::look()
+void StartupQueue::check()
 {
     if (this->isKnown())
         return this->release();
@@ -71,7 +72,7 @@
             this->serve(std::move(one.connection), std::move(one.request));
     }
     if (!this->waiting.empty())
-        this->lookAgain();
+        this->scheduleCheck();
 }
 
 void StartupQueue::release()
--- a/lib/Proxy/storefeeds.cpp
+++ b/lib/Proxy/storefeeds.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-// The platform restores lapsed entries within about two seconds of its return; one that is missing
-// after that is gone.
-constexpr std::chrono::milliseconds returnGrace{2200};
+// The platform restores expired entries within about two seconds after the store is available
+// again; an entry that is still missing then belongs to a target that is gone.
+constexpr std::chrono::milliseconds restoreGracePeriod{2200};
 
-// Lines about unusable entries in a span of time. A writer gone wrong may leave thousands; the
-// first lines show what is the matter, the counter how much of it there is.
-constexpr std::size_t mostReportsInSpan = 20;
-constexpr std::chrono::seconds reportSpan{10};
+// Limits log lines about unusable entries per period. A faulty writer may leave thousands of them;
+// the first lines show the problem, and a metric counts all of them.
+constexpr std::size_t maxReportsPerPeriod = 20;
+constexpr std::chrono::seconds reportPeriod{10};
 
 } // namespace
 
@@ -27,7 +27,7 @@
 {
     for (const StoreItem &item : items) {
         if (item.key == this->dialect.configurationKey() && !item.deleted && !item.unreadable)
-            this->take(item);
+            this->applyItem(item);
     }
     this->confirm(asOf);
 }
@@ -37,7 +37,7 @@
     this->onChanges(items, TimePoint());
 }
 
-void ConfigurationFeed::take(const StoreItem &item)
+void ConfigurationFeed::applyItem(const StoreItem &item)
 {
     Result<RoutingTable> decoded = this->dialect.decodeConfiguration(item.value);
     if (!decoded) {
@@ -48,8 +48,8 @@
         return;
     }
     const std::uint64_t version = decoded.value().version;
-    const std::uint64_t before = this->inForce ? this->inForce->version : 0;
-    // An answer that was read late must not take an instance back behind what it served under.
+    const std::uint64_t before = this->activeTable ? this->activeTable->version : 0;
+    // An answer that arrived late must not replace a newer configuration already in force.
     if (version < before) {
         logEvent(Severity::Warning, "config_older_ignored",
                  {{"version", static_cast<std::int64_t>(version)},
@@ -58,28 +58,29 @@
     }
     if (version == before)
         return;
-    this->inForce = std::make_shared<const RoutingTable>(std::move(decoded.value()));
+    this->activeTable = std::make_shared<const RoutingTable>(std::move(decoded.value()));
     logEvent(Severity::Info, "config_in_force",
              {{"version", static_cast<std::int64_t>(version)},
               {"before", static_cast<std::int64_t>(before)},
               {"revision", static_cast<std::int64_t>(item.revision)},
-              {"routes", static_cast<std::int64_t>(this->inForce->routes.size())},
-              {"keys", static_cast<std::int64_t>(this->inForce->holders.size())}});
+              {"routes", static_cast<std::int64_t>(this->activeTable->routes.size())},
+              {"keys", static_cast<std::int64_t>(this->activeTable->holders.size())}});
 }
 
 void ConfigurationFeed::confirm(TimePoint asOf)
 {
-    const bool unsure = asOf >= this->unsureFrom && asOf < this->unsureUntil;
-    if (!unsure)
+    const bool uncertain = asOf >= this->uncertainFrom && asOf < this->uncertainUntil;
+    if (!uncertain)
         this->confirmedAt = std::max(this->confirmedAt, asOf);
 }
 
-// A key may have been taken away by a change that was acknowledged, is not in the copy, and never
-// came here. Until it is written again nothing that the store says confirms that the key holds.
+// A key may have been revoked by an acknowledged change that is not in the restored copy and never
+// reached this instance. Until that change is written again, the store cannot confirm that the
+// configuration in force is current.
 void ConfigurationFeed::onStoreReturned()
 {
-    this->unsureFrom = this->clock.now();
-    this->unsureUntil = this->unsureFrom + returnGrace;
+    this->uncertainFrom = this->clock.now();
+    this->uncertainUntil = this->uncertainFrom + restoreGracePeriod;
 }
 
 void ConfigurationFeed::onStoreLost(std::string_view reason)
@@ -93,13 +94,13 @@
     logEvent(Severity::Info, "store_regained", {{"away_ms", toMillis(away)}});
 }
 
-TargetFeed::TargetFeed(asio::io_context &loop, const Clock &time, const Dialect &words,
-                       Metrics &counted, TargetDirectory &filled)
+TargetFeed::TargetFeed(asio::io_context &loop, const Clock &time, const Dialect &platform,
+                       Metrics &counters, TargetDirectory &targetDirectory)
     : clock(time)
-    , dialect(words)
-    , metrics(counted)
-    , directory(filled)
-    , reports(time, mostReportsInSpan, reportSpan)
+    , dialect(platform)
+    , metrics(counters)
+    , directory(targetDirectory)
+    , reports(time, maxReportsPerPeriod, reportPeriod)
     , graceTimer(loop)
 {
 }
@@ -140,8 +141,8 @@
     return std::move(entry.value());
 }
 
-// The key alone says it: whatever the record holds, somebody put the data centre out of use.
-std::optional<DataCentreRecord> TargetFeed::useOf(const StoreItem &item) const
+// Only the key matters: a data centre is out of use if its record exists, whatever the value is.
+std::optional<DataCentreRecord> TargetFeed::decodeOutOfUse(const StoreItem &item) const
 {
     const std::string_view prefix = this->dialect.outOfUsePrefix();
     if (!item.key.starts_with(prefix) || item.key.size() == prefix.size())
@@ -154,7 +155,7 @@
     TargetListing listing;
     std::vector<DataCentreRecord> records;
     for (const StoreItem &item : items) {
-        if (const auto record = this->useOf(item))
+        if (const auto record = this->decodeOutOfUse(item))
             records.push_back(*record);
         if (!this->isTarget(item))
             continue;
@@ -164,8 +165,9 @@
         else
             listing.unusable.push_back(this->nameOf(item.key));
     }
-    // First what is out of use, so that nothing is asked of the targets there when they are listed.
-    this->directory.replaceDataCentres(records, this->clock.now() < this->rewrittenBy);
+    // Apply out-of-use records first, so that targets in those data centres are not queried when
+    // they are listed.
+    this->directory.replaceDataCentres(records, this->clock.now() < this->rewriteDeadline);
     this->directory.replaceAll(std::move(listing), this->inGrace());
     this->loaded = true;
 }
@@ -175,8 +177,9 @@
     this->apply(items, this->inGrace());
 }
 
-// Whoever read them knows whether the store was away; that it turns this instance away says nothing
-// of the others' reading. Runs were left at engines that were gone until this was told apart.
+// The instance that read the changes knows whether the store was unavailable. That the store
+// rejects this instance does not mean that other instances cannot read it; treating the two alike
+// would leave runs at engines that are gone.
 void TargetFeed::onSharedChanges(const std::vector<StoreItem> &items, bool afterOutage)
 {
     this->apply(items, afterOutage);
@@ -187,7 +190,7 @@
 void TargetFeed::apply(const std::vector<StoreItem> &items, bool keepMissing)
 {
     for (const StoreItem &item : items) {
-        if (const auto record = this->useOf(item))
+        if (const auto record = this->decodeOutOfUse(item))
             this->directory.noteDataCentre(*record);
         if (!this->isTarget(item))
             continue;
@@ -209,18 +212,18 @@
     this->lostAt = this->clock.now();
 }
 
-// Targets that wrote themselves after the copy was made are not in it, and do so again. So do the
-// operators, whose orders hold until then.
+// Targets that registered after the copy was made are not in it and register again. Operators
+// also write their orders again; the previous orders stay in force until then.
 void TargetFeed::onStoreReturned()
 {
     this->metrics.count("jaytrack_store_returns_total");
     this->directory.forgetDataCentreRevisions();
-    this->rewrittenBy = this->clock.now() + returnGrace;
+    this->rewriteDeadline = this->clock.now() + restoreGracePeriod;
     this->startGrace();
 }
 
-// If others read the store after this instance lost it, it was not away but turned this instance
-// away, and nothing has lapsed.
+// If other instances read the store after this instance lost it, the store was available but
+// rejected this instance, so no entries have expired.
 void TargetFeed::onStoreRegained(Duration)
 {
     this->lost = false;
@@ -232,7 +235,7 @@
 {
     this->confirmedAsOf = asOf;
     const bool before = this->tooOld;
-    // Before the first listing there is nothing that might have lapsed.
+    // Before the first listing there are no entries that could have expired.
     this->tooOld = old && this->loaded;
     if (before && !this->tooOld)
         this->startGrace();
@@ -241,7 +244,7 @@
 void TargetFeed::startGrace()
 {
     this->graceRunning = true;
-    this->graceTimer.expires_after(returnGrace);
+    this->graceTimer.expires_after(restoreGracePeriod);
     this->graceTimer.async_wait([this](const asio::error_code &failure) {
         if (failure)
             return;
--- a/lib/Proxy/storefollower.cpp
+++ b/lib/Proxy/storefollower.cpp
@@ -12,39 +12,41 @@
 constexpr int okStatus = 200;
 constexpr int historyGoneStatus = 410;
 
-// Beyond the wait that was asked for; the store answers in milliseconds and up to 60 times slower
-// in its bad hours.
-constexpr std::chrono::milliseconds answerSlack{700};
-constexpr std::chrono::milliseconds connectBound{500};
+// Time allowed for an answer beyond the requested wait. The store normally answers within
+// milliseconds, and up to 60 times slower when it is overloaded.
+constexpr std::chrono::milliseconds answerMargin{700};
+constexpr std::chrono::milliseconds maxConnectTime{500};
 
-// The first pause between failed calls: most failures are one lost connection. It doubles.
+// Initial back-off between failed calls, which doubles with each failure. It is short because most
+// failures are a single lost connection.
 constexpr std::chrono::milliseconds firstBackoff{30};
-constexpr int mostDoublings = 6;
+constexpr int maxDoublings = 6;
 
-// Failures in a row after which the store counts as lost.
+// Consecutive failures after which the store is considered lost.
 constexpr int failuresUntilLost = 2;
 
 } // namespace
 
-StoreFollower::StoreFollower(asio::io_context &loop, const Clock &time, const Dialect &words,
-                             StoreFollowerOptions given, std::uint64_t seed,
-                             StoreFollowerListener &to, StoreReadListener &readBy)
+StoreFollower::StoreFollower(asio::io_context &loop, const Clock &time, const Dialect &platform,
+                             StoreFollowerOptions followerOptions, std::uint64_t seed,
+                             StoreFollowerListener &followerListener,
+                             StoreReadListener &readListener)
     : context(loop)
     , timer(loop)
     , clock(time)
-    , dialect(words)
-    , options(std::move(given))
+    , dialect(platform)
+    , options(std::move(followerOptions))
     , random(seed)
-    , listener(to)
-    , reads(readBy)
+    , listener(followerListener)
+    , reads(readListener)
     , lastAnswer(time.now())
-    , patience(this->options.patience)
+    , sharedChangeWait(this->options.sharedChangeWait)
 {
 }
 
 void StoreFollower::start()
 {
-    this->ask();
+    this->query();
 }
 
 void StoreFollower::stop()
@@ -59,7 +61,7 @@
 {
     this->active = wanted;
     if (wanted && !this->waiting && !this->stopped)
-        this->ask();
+        this->query();
 }
 
 void StoreFollower::setInstances(std::size_t count)
@@ -67,38 +69,38 @@
     this->instances = count;
     const auto others = static_cast<std::int64_t>(count) - 1;
     const std::chrono::milliseconds wanted =
-            this->options.patience + this->options.patiencePerInstance * others;
-    this->patience = std::min(wanted, this->options.mostPatience);
+            this->options.sharedChangeWait + this->options.sharedChangeWaitPerInstance * others;
+    this->sharedChangeWait = std::min(wanted, this->options.maxSharedChangeWait);
 }
 
 void StoreFollower::catchUp(std::uint64_t to)
 {
-    if (to <= this->revision || to <= this->heardOf)
+    if (to <= this->revision || to <= this->announcedRevision)
         return;
-    if (this->heardOf <= this->revision)
+    if (this->announcedRevision <= this->revision)
         this->behindSince = this->clock.now();
-    this->heardOf = to;
+    this->announcedRevision = to;
 }
 
-bool StoreFollower::hearEra(std::uint64_t heard)
+bool StoreFollower::hearEra(std::uint64_t announced)
 {
-    if (heard == 0 || heard == this->era)
+    if (announced == 0 || announced == this->era)
         return true;
-    if (heard < this->era)
+    if (announced < this->era)
         return false;
     std::chrono::milliseconds pause{0};
-    if (this->told && !this->active) {
-        const auto share = this->options.relistPerInstance * static_cast<int>(this->instances);
-        const auto most = std::min(share, this->options.mostRelist);
-        std::uniform_int_distribution<std::int64_t> draw(0, most.count());
+    if (this->receivesUpdates && !this->active) {
+        const auto share = this->options.relistDelayPerInstance * static_cast<int>(this->instances);
+        const auto maxDelay = std::min(share, this->options.maxRelistDelay);
+        std::uniform_int_distribution<std::int64_t> draw(0, maxDelay.count());
         pause = std::chrono::milliseconds(draw(this->random));
     }
-    this->enterEra(heard, "peer", pause);
+    this->enterEra(announced, "peer", pause);
     return true;
 }
 
-// The revisions known so far belong to a history that no longer exists: followed on from there, the
-// store would tell nothing of changes that it made under the same numbers.
+// The known revisions belong to a history that no longer exists. If the follower continued from
+// them, the store would not report changes that it made under the same revision numbers.
 void StoreFollower::enterEra(std::uint64_t next, std::string_view source,
                              std::chrono::milliseconds pause)
 {
@@ -116,16 +118,16 @@
         this->call->cancel();
     this->timer.cancel();
     this->revision = 0;
-    this->heardOf = 0;
+    this->announcedRevision = 0;
     this->listing = true;
     this->pageAfter.clear();
     this->listed.clear();
     this->listener.onStoreReturned();
-    this->askLater(pause);
+    this->queryAfter(pause);
 }
 
-// Whether the answer is of the history that is known here. One to a question that was put before a
-// newer one was learnt of may be of the older one.
+// Whether the answer belongs to the known history. An answer to a query that was sent before this
+// instance learnt of a newer history may belong to the older one.
 bool StoreFollower::belongsToKnownEra()
 {
     if (!this->answerEra || *this->answerEra == this->era)
@@ -134,7 +136,7 @@
         this->enterEra(*this->answerEra, "store", {});
         return true;
     }
-    if (*this->answerEra < this->era && this->askedAt < this->eraSince) {
+    if (*this->answerEra < this->era && this->querySentAt < this->eraSince) {
         this->failed("older_era");
         return false;
     }
@@ -146,20 +148,20 @@
 
 void StoreFollower::tick()
 {
-    const bool behind = this->heardOf > this->revision && !this->listing;
+    const bool behind = this->announcedRevision > this->revision && !this->listing;
     if (behind && !this->waiting && !this->stopped &&
-        this->clock.now() - this->behindSince > this->patience)
-        this->catchUpNow("behind");
+        this->clock.now() - this->behindSince > this->sharedChangeWait)
+        this->queryMissing("behind");
 }
 
-void StoreFollower::catchUpNow(std::string_view cause)
+void StoreFollower::queryMissing(std::string_view cause)
 {
     logEvent(Severity::Info, "store_catch_up",
              {{"cause", cause},
               {"revision", static_cast<std::int64_t>(this->revision)},
-              {"heard_of", static_cast<std::int64_t>(this->heardOf)},
+              {"heard_of", static_cast<std::int64_t>(this->announcedRevision)},
               {"behind_ms", toMillis(this->clock.now() - this->behindSince)}});
-    this->ask();
+    this->query();
 }
 
 void StoreFollower::applyShared(std::uint64_t from, std::uint64_t to,
@@ -173,41 +175,42 @@
         if (item.revision > this->revision)
             fresh.push_back(item);
     }
-    // What comes after a gap is true all the same, and an instance that the store turns away learns
-    // of leaving engines in no other way; only the revision, which would claim more, stays behind.
+    // Changes after a gap are valid too, and an instance that the store rejects has no other way to
+    // learn of engines that shut down. Only the revision is not advanced, because it would claim
+    // that the missing changes are known.
     this->listener.onSharedChanges(fresh, afterOutage);
     if (!incomplete && from <= this->revision) {
         this->revision = to;
         return;
     }
     if (incomplete && !this->waiting && !this->stopped)
-        return this->catchUpNow("incomplete");
+        return this->queryMissing("incomplete");
     this->catchUp(to);
 }
 
-void StoreFollower::ask()
+void StoreFollower::query()
 {
     this->waiting = true;
     TargetRequest request;
     request.endpoint = this->options.store;
-    request.connectTimeout = connectBound;
-    std::chrono::milliseconds bound = answerSlack;
+    request.connectTimeout = maxConnectTime;
+    std::chrono::milliseconds bound = answerMargin;
     if (this->listing) {
         request.target = this->dialect.rangeTarget(this->options.prefix, this->pageAfter);
     } else {
         std::uniform_int_distribution<std::int64_t> jitter(0, this->options.waitJitter.count());
-        this->askedWait = this->options.wait + std::chrono::milliseconds(jitter(this->random));
-        request.target =
-                this->dialect.watchTarget(this->options.prefix, this->revision, this->askedWait);
-        bound += this->askedWait;
+        this->requestedWait = this->options.wait + std::chrono::milliseconds(jitter(this->random));
+        request.target = this->dialect.watchTarget(this->options.prefix, this->revision,
+                                                   this->requestedWait);
+        bound += this->requestedWait;
     }
     request.headers.push_back({"Host", this->options.store.address().to_string()});
     this->status = 0;
     this->answerEra.reset();
     this->body.clear();
-    this->askedAt = this->clock.now();
+    this->querySentAt = this->clock.now();
     if (this->listing && this->pageAfter.empty())
-        this->listingAskedAt = this->askedAt;
+        this->listingStartedAt = this->querySentAt;
     this->call = TargetCall::start(this->context, std::move(request), this->weak_from_this());
     this->timer.expires_after(bound);
     this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
@@ -217,21 +220,21 @@
     });
 }
 
-void StoreFollower::askLater(std::chrono::milliseconds delay)
+void StoreFollower::queryAfter(std::chrono::milliseconds delay)
 {
     this->waiting = false;
-    // An inactive follower stops once it knows the whole; a failed call is tried again all the
-    // same.
+    // An inactive follower makes no further calls once it has a complete listing, but still retries
+    // a failed call.
     if (this->stopped || (!this->active && !this->listing && this->failures == 0))
         return;
     this->waiting = true;
     if (delay.count() == 0)
-        return this->ask();
+        return this->query();
     this->timer.expires_after(delay);
     this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
         const auto self = weak.lock();
         if (!failure && self)
-            self->ask();
+            self->query();
     });
 }
 
@@ -261,14 +264,14 @@
         this->listing = true;
         this->pageAfter.clear();
         this->listed.clear();
-        return this->askLater(std::chrono::milliseconds(0));
+        return this->queryAfter(std::chrono::milliseconds(0));
     }
     if (this->status != okStatus)
         return this->failed("status_" + std::to_string(this->status));
     if (this->listing)
-        this->takePage();
+        this->applyPage();
     else
-        this->takeChanges();
+        this->applyChanges();
 }
 
 void StoreFollower::onTimeout()
@@ -285,14 +288,14 @@
         this->lost = true;
         this->listener.onStoreLost(reason);
     }
-    // What was never listed here nobody else can tell.
-    const bool canWait = this->told && !this->listing;
-    const std::chrono::milliseconds most =
-            canWait ? this->options.mostBackoffIfTold : this->options.mostBackoff;
-    auto backoff = firstBackoff * (1 << std::min(this->failures - 1, mostDoublings));
-    backoff = std::min(backoff, most);
+    // Other instances only send changes, so an instance without a listing cannot rely on them.
+    const bool canWait = this->receivesUpdates && !this->listing;
+    const std::chrono::milliseconds maxDelay =
+            canWait ? this->options.maxBackoffWithUpdates : this->options.maxBackoff;
+    auto backoff = firstBackoff * (1 << std::min(this->failures - 1, maxDoublings));
+    backoff = std::min(backoff, maxDelay);
     std::uniform_int_distribution<std::int64_t> jitter(backoff.count() / 2, backoff.count());
-    this->askLater(std::chrono::milliseconds(jitter(this->random)));
+    this->queryAfter(std::chrono::milliseconds(jitter(this->random)));
 }
 
 void StoreFollower::succeeded()
@@ -306,33 +309,33 @@
     this->lastAnswer = now;
 }
 
-void StoreFollower::takePage()
+void StoreFollower::applyPage()
 {
     Result<StorePage> decoded = this->dialect.decodePage(this->body);
     if (!decoded)
         return this->failed("malformed_answer");
     this->succeeded();
     StorePage &page = decoded.value();
-    // Pages are read one after another, so changes between them are caught by following from the
-    // revision of the first.
+    // Pages are read one after another. Watching from the revision of the first page catches
+    // changes made between them.
     if (this->pageAfter.empty())
         this->revision = page.revision;
     for (StoreItem &item : page.items)
         this->listed.push_back(std::move(item));
     if (page.more && !this->listed.empty()) {
         this->pageAfter = this->listed.back().key;
-        return this->askLater(std::chrono::milliseconds(0));
+        return this->queryAfter(std::chrono::milliseconds(0));
     }
     this->listing = false;
     this->pageAfter.clear();
     const std::vector<StoreItem> whole = std::move(this->listed);
     this->listed.clear();
-    this->listener.onListing(whole, this->listingAskedAt);
+    this->listener.onListing(whole, this->listingStartedAt);
     this->reads.onStoreRead(this->revision, this->revision, {});
-    this->askLater(std::chrono::milliseconds(0));
+    this->queryAfter(std::chrono::milliseconds(0));
 }
 
-void StoreFollower::takeChanges()
+void StoreFollower::applyChanges()
 {
     Result<StorePage> decoded = this->dialect.decodeChanges(this->body);
     if (!decoded)
@@ -340,15 +343,15 @@
     this->succeeded();
     StorePage &page = decoded.value();
     const std::uint64_t before = this->revision;
-    // What other instances passed on meanwhile is known already, and may be newer.
+    // Changes received from other instances meanwhile are already applied and may be newer.
     std::erase_if(page.items, [before](const StoreItem &item) { return item.revision <= before; });
     this->revision = std::max(before, page.revision);
-    const bool heldToTheEnd = this->clock.now() - this->askedAt >= this->askedWait;
-    if (heldToTheEnd || !page.items.empty())
-        this->listener.onChanges(page.items, this->askedAt);
+    const bool heldForFullWait = this->clock.now() - this->querySentAt >= this->requestedWait;
+    if (heldForFullWait || !page.items.empty())
+        this->listener.onChanges(page.items, this->querySentAt);
     if (!page.items.empty())
         this->reads.onStoreRead(before, this->revision, page.items);
-    this->askLater(page.items.empty() ? std::chrono::milliseconds(0) : this->options.gap);
+    this->queryAfter(page.items.empty() ? std::chrono::milliseconds(0) : this->options.gap);
 }
 
 } // namespace jaytrack
