--- a/lib/Proxy/storesharing.cpp
+++ b/lib/Proxy/storesharing.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-// A reader whose questions are answered is never confirmed longer ago than this: a question that
-// the store holds for 1.2 s, and a pause of 0.2 s.
-constexpr std::chrono::milliseconds confirmedAge{1400};
+// Maximum age of the data of a reader whose queries are answered: the store holds a query for up to
+// 1.2 s, plus a pause of 0.2 s.
+constexpr std::chrono::milliseconds maxReaderAge{1400};
 
 } // namespace
 
-StoreSharing::StoreSharing(const Clock &time, std::string ownName, ReadDutyOptions given,
-                           std::mt19937_64 &source, ConfigurationFeed &confirmed,
-                           TargetFeed &listed)
+StoreSharing::StoreSharing(const Clock &time, std::string ownName, ReadDutyOptions dutyOptions,
+                           std::mt19937_64 &source, ConfigurationFeed &configurationFeed,
+                           TargetFeed &targetFeed)
     : clock(time)
-    , duty(time, std::move(ownName), given, source)
-    , configuration(confirmed)
-    , targets(listed)
+    , duty(time, std::move(ownName), dutyOptions, source)
+    , configuration(configurationFeed)
+    , targets(targetFeed)
 {
 }
 
-void StoreSharing::attach(PeerLink &others, std::shared_ptr<StoreFollower> follows)
+void StoreSharing::attach(PeerLink &peerLink, std::shared_ptr<StoreFollower> storeFollower)
 {
-    this->peers = &others;
-    this->follower = std::move(follows);
+    this->peers = &peerLink;
+    this->follower = std::move(storeFollower);
 }
 
 void StoreSharing::onPeersChanged(const std::vector<std::string> &names)
@@ -53,28 +53,28 @@
                   {"revision", static_cast<std::int64_t>(this->follower->knownRevision())}});
         this->follower->setActive(read);
     }
-    this->askForFreshness(age);
+    this->queryFreshness(age);
 }
 
-void StoreSharing::askForFreshness(Duration age)
+void StoreSharing::queryFreshness(Duration age)
 {
     const TimePoint now = this->clock.now();
-    // A reader that the store turns away is still told by the others what they read.
-    const bool confirmedByItself = this->duty.isReader() && age < confirmedAge;
-    if (confirmedByItself || now < this->nextAsk)
+    // A reader that the store rejects still receives what the others read.
+    const bool isConfirmedByStore = this->duty.isReader() && age < maxReaderAge;
+    if (isConfirmedByStore || now < this->nextQuery)
         return;
-    const std::string asked = this->duty.whomToAsk(age);
-    if (asked.empty())
+    const std::string queriedPeer = this->duty.whomToAsk(age);
+    if (queriedPeer.empty())
         return;
-    this->nextAsk = now + askGap;
-    this->peers->askFreshness(asked, now.time_since_epoch().count());
+    this->nextQuery = now + queryInterval;
+    this->peers->sendFreshnessQuery(queriedPeer, now.time_since_epoch().count());
 }
 
 void StoreSharing::onStoreRead(std::uint64_t from, std::uint64_t to,
                                const std::vector<StoreItem> &items)
 {
-    if (this->peers != nullptr && this->duty.passesOn())
-        this->peers->shareStore(
+    if (this->peers != nullptr && this->duty.sharesReads())
+        this->peers->shareStoreChanges(
                 {from, to, items, false, this->targets.inGrace(), this->follower->knownEra()});
 }
 
@@ -85,30 +85,30 @@
                                     changes.afterOutage);
 }
 
-void StoreSharing::onFreshnessAsked(std::string_view peer, std::int64_t askedAt)
+void StoreSharing::onFreshnessQuery(std::string_view peer, std::int64_t requestedAt)
 {
     if (this->follower == nullptr || this->follower->knownRevision() == 0)
         return;
-    this->peers->answerFreshness(peer, askedAt, this->configuration.age(),
-                                 this->follower->knownEra(), this->follower->knownRevision());
+    this->peers->sendFreshnessAnswer(peer, requestedAt, this->configuration.age(),
+                                     this->follower->knownEra(), this->follower->knownRevision());
 }
 
-// The peer knew, when it answered, the state as it was that long ago, and it answered after the
-// question was put; so counted from the question the state is at least as new as that, however long
-// the answer took.
-void StoreSharing::onFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                               std::uint64_t era, std::uint64_t revision)
+// The peer answered after the query was sent, and its data had the reported age at that time.
+// Subtracting the age from the send time of the query therefore gives a safe lower bound for the
+// time as of which the data is confirmed, however long the answer took.
+void StoreSharing::onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
+                                     std::uint64_t era, std::uint64_t revision)
 {
     this->duty.answered(peer, age);
-    const TimePoint asked{Duration(askedAt)};
-    if (this->follower == nullptr || asked > this->clock.now() || age < Duration(0))
+    const TimePoint sentAt{Duration(requestedAt)};
+    if (this->follower == nullptr || sentAt > this->clock.now() || age < Duration(0))
         return;
-    // Revisions of two histories cannot be compared.
+    // Revisions of different store histories cannot be compared.
     if (!this->follower->hearEra(era))
         return;
     if (revision > this->follower->knownRevision())
         return this->follower->catchUp(revision);
-    this->configuration.confirm(asked - age);
+    this->configuration.confirm(sentAt - age);
 }
 
 } // namespace jaytrack
--- a/lib/Proxy/streamexchange.cpp
+++ b/lib/Proxy/streamexchange.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-// Longest answer that is no stream, such as an engine's own failure.
-constexpr std::size_t mostPlainBytes = 256U << 10U;
+// Maximum body size kept of an answer that is not a stream, such as an error from the engine.
+constexpr std::size_t maxNonStreamBodyBytes = 256U << 10U;
 
-// An engine that has gone on for this long after the first event of a run is not ended by it.
-constexpr std::chrono::milliseconds provenAfter{1000};
+// A run is not blamed for a crash of its engine once the engine has worked for this long after the
+// first event of the run.
+constexpr std::chrono::milliseconds minProvenRunTime{1000};
 
-// How often a generation that waits looks for room.
-constexpr std::chrono::milliseconds roomGap{30};
+// Interval at which a waiting generation retries to find an engine with free capacity.
+constexpr std::chrono::milliseconds capacityRetryInterval{30};
 
 constexpr int okStatus = 200;
 
@@ -40,7 +41,7 @@
                            const StreamOptions &streams, std::mt19937_64 &random)
 {
     RunPlanOptions options;
-    std::uniform_int_distribution<std::int64_t> pause(0, streams.mostFirstPause.count());
+    std::uniform_int_distribution<std::int64_t> pause(0, streams.maxFirstCopyDelay.count());
     options.firstPause = std::chrono::milliseconds(pause(random));
     options.movesRuns = traits.movesRuns;
     options.mayRunAgain = mayRunAgain(kind);
@@ -51,17 +52,18 @@
 
 } // namespace
 
-StreamExchange::StreamExchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> from,
-                               AdmittedRequest given)
-    : Exchange(shared, std::move(from), std::move(given))
+StreamExchange::StreamExchange(ExchangeContext &shared,
+                               std::shared_ptr<CallerConnection> connection,
+                               AdmittedRequest admittedRequest)
+    : Exchange(shared, std::move(connection), std::move(admittedRequest))
     , traits(engineTraits(this->service()))
-    , room(shared, this->facts().attemptId)
+    , reservations(shared, this->facts().attemptId)
     , plan(shared.clock,
            planOptions(this->traits, this->route().kind, shared.streams, shared.random))
     , overlapTimer(shared.loop)
     , moveTimer(shared.loop)
     , planTimer(shared.loop)
-    , roomTimer(shared.loop)
+    , capacityTimer(shared.loop)
     , silenceTimer(shared.loop)
 {
     if (this->facts().generation) {
@@ -89,42 +91,42 @@
     fields.emplace_back("events", static_cast<std::int64_t>(this->lastEvent));
     fields.emplace_back("first_event_ms", toMillis(this->firstEventAfter));
     fields.emplace_back("longest_pause_ms", toMillis(this->longestPause));
-    fields.emplace_back("paused_before", static_cast<std::int64_t>(this->pausedBefore));
-    fields.emplace_back("hand_overs", this->handOvers);
+    fields.emplace_back("paused_before", static_cast<std::int64_t>(this->eventAfterLongestPause));
+    fields.emplace_back("hand_overs", this->handovers);
 }
 
 void StreamLeg::onAnswerHead(MessageHead answer)
 {
     this->head = std::move(answer);
     this->streaming = this->head.status == okStatus;
-    if (const auto to = this->owner.lock())
-        to->legHead(*this);
+    if (const auto exchange = this->owner.lock())
+        exchange->legHead(*this);
 }
 
 void StreamLeg::onAnswerBody(std::string_view bytes)
 {
-    const auto to = this->owner.lock();
-    if (!to)
+    const auto exchange = this->owner.lock();
+    if (!exchange)
         return;
     if (!this->streaming) {
-        if (this->plainBody.size() + bytes.size() <= mostPlainBytes)
+        if (this->plainBody.size() + bytes.size() <= maxNonStreamBodyBytes)
             this->plainBody += bytes;
         return;
     }
-    const bool good = this->events.feed(bytes, [this, &to](const SseEvent &event) {
-        to->legEvent(*this, event);
+    const bool good = this->events.feed(bytes, [this, &exchange](const SseEvent &event) {
+        exchange->legEvent(*this, event);
         return true;
     });
     if (!good) {
         this->call->cancel();
-        to->legEnded(*this, {false, true, "garbled"});
+        exchange->legEnded(*this, {false, true, "garbled"});
     }
 }
 
 void StreamLeg::onCallEnd(const TargetCallEnd &end)
 {
-    if (const auto to = this->owner.lock())
-        to->legEnded(*this, end);
+    if (const auto exchange = this->owner.lock())
+        exchange->legEnded(*this, end);
 }
 
 std::shared_ptr<StreamLeg> StreamExchange::open(const TargetEntry &target,
@@ -154,9 +156,9 @@
              {"report_age_ms", toMillis(this->context.engines.forecast(target.id).reportAge)},
              {"forecast_delay_ms", toMillis(this->context.engines.forecast(target.id).delay)},
              {"left_ms", static_cast<std::int64_t>(this->timeLeft().count())}});
-    // A copy was accounted for when it was ordered.
+    // Memory for a copy was reserved when the copy was started.
     if (!orders.resume)
-        this->room.takeForPrompt(target.id, this->need);
+        this->reservations.reserveForPrompt(target.id, this->need);
     leg->openedAt = this->context.clock.now();
     this->context.cold.sent(target.id);
     leg->call = TargetCall::start(this->context.loop,
@@ -164,10 +166,10 @@
     return leg;
 }
 
-// The engines to which this instance gives work. If none of them is left it takes any: it knows
-// nothing of their load, but its caller has nobody else.
+// Returns the engines that are assigned to this instance. If none of them is left, returns all:
+// their load is unknown here, but the caller has no alternative.
 std::vector<const TargetEntry *>
-StreamExchange::ownShare(std::vector<const TargetEntry *> engines) const
+StreamExchange::assignedEngines(std::vector<const TargetEntry *> engines) const
 {
     std::vector<const TargetEntry *> own;
     std::copy_if(
@@ -178,20 +180,20 @@
 
 void StreamExchange::attempt()
 {
-    const std::vector<const TargetEntry *> engines = this->ownShare(this->untried());
-    const std::optional<Duration> rest = this->shortestRest();
+    const std::vector<const TargetEntry *> engines = this->assignedEngines(this->untriedTargets());
+    const std::optional<Duration> rest = this->shortestPause();
     if (engines.empty() && rest)
-        return *rest > this->patience() ? this->refuseUntilRested() : this->waitForRoom();
-    this->need.mostDelay = this->usableDelay();
+        return *rest > this->maxCapacityWait() ? this->refuseAllPaused() : this->waitForCapacity();
+    this->need.mostDelay = this->maxEngineDelay();
     const TargetEntry *chosen =
             this->context.engines.choose(engines, this->traits, this->need, this->tried);
     this->shortage = this->context.engines.lastShortage();
     if (chosen == nullptr)
-        return engines.empty() ? this->answerOwn(this->uncertain ? ResultCode::TargetLost
-                                                                 : ResultCode::NoTarget,
-                                                 this->lackOfTargets())
-                               : this->waitForRoom();
-    this->whenPermitted(*chosen, [this](const TargetEntry &engine) { this->begin(engine); });
+        return engines.empty() ? this->answerWithResult(this->uncertain ? ResultCode::TargetLost
+                                                                        : ResultCode::NoTarget,
+                                                        this->noTargetReason())
+                               : this->waitForCapacity();
+    this->sendWhenPermitted(*chosen, [this](const TargetEntry &engine) { this->begin(engine); });
 }
 
 void StreamExchange::begin(const TargetEntry &engine)
@@ -200,73 +202,76 @@
     this->current = this->open(engine, std::nullopt);
     if (!this->current)
         return this->attempt();
-    this->beginLeg(*this->current);
+    this->onLegStarted(*this->current);
 }
 
-// How long a prompt may wait at an engine so that its first token is still in time. A run that was
-// lost elsewhere and starts anew is late already; it is served late rather than not at all.
-Duration StreamExchange::usableDelay() const
+// Returns how long a prompt may wait at an engine so that its first token still meets the
+// objective. A run that was lost on another engine and starts again is late already; it is served
+// late rather than refused.
+Duration StreamExchange::maxEngineDelay() const
 {
     const Duration waited = this->context.clock.now() - this->request().arrived;
     if (this->uncertain || this->route().objective.count() == 0)
         return Duration::max();
     const auto usable = std::chrono::duration<double, std::nano>(this->route().objective - waited) *
-                        this->context.streams.usablePartOfObjective;
+                        this->context.streams.usableObjectiveFraction;
     return std::max(Duration(0), std::chrono::duration_cast<Duration>(usable));
 }
 
-// How long the request waits for room.
-Duration StreamExchange::patience() const
+// Returns how long the request waits for an engine with free capacity.
+Duration StreamExchange::maxCapacityWait() const
 {
     if (this->uncertain)
         return this->route().objective;
     const auto part = std::chrono::duration<double, std::nano>(this->route().objective) *
-                      this->context.streams.partOfObjectiveToWait;
+                      this->context.streams.maxWaitFraction;
     return std::chrono::duration_cast<Duration>(part);
 }
 
-// Every engine that was compared is full. Room comes free within tenths of a second as others end,
-// so a short wait is worth it; after it the caller is told, early enough to come back in time.
-void StreamExchange::waitForRoom()
+// Called when every candidate engine is full. Capacity becomes free within tenths of a second as
+// other generations end, so the request waits briefly. If that fails, the caller is refused early
+// enough to retry within its objective.
+void StreamExchange::waitForCapacity()
 {
     const TimePoint since = this->uncertain ? this->lostAt : this->request().arrived;
-    if (this->context.clock.now() - since > this->patience())
-        return this->answerOwn(this->uncertain ? ResultCode::TargetLost : ResultCode::WaitExpired,
-                               "engines_full");
-    this->roomTimer.expires_after(roomGap);
-    this->roomTimer.async_wait([self = this->self()](const asio::error_code &failure) {
+    if (this->context.clock.now() - since > this->maxCapacityWait())
+        return this->answerWithResult(
+                this->uncertain ? ResultCode::TargetLost : ResultCode::WaitExpired, "engines_full");
+    this->capacityTimer.expires_after(capacityRetryInterval);
+    this->capacityTimer.async_wait([self = this->self()](const asio::error_code &failure) {
         if (!failure && !self->isFinished())
             self->attempt();
     });
 }
 
-void StreamExchange::beginLeg(const StreamLeg &leg)
+void StreamExchange::onLegStarted(const StreamLeg &leg)
 {
     this->eventsBeforeLeg = this->lastEvent;
     this->plan.placed(leg.target.id);
-    this->syncCopy();
-    // The engine may have announced its leaving while the run was on its way there.
+    this->updateCopyReservation();
+    // The engine may have announced its shutdown while the run was being sent to it.
     const TargetEntry *listed = this->context.directory.find(leg.target.id);
     if (listed != nullptr && !listed->leaving)
         return;
     this->plan.engineLeaving(leg.target.id);
-    this->watchPlan();
+    this->schedulePlanCheck();
 }
 
-// Tokens that the run has made since that event.
-std::uint32_t StreamExchange::grownSince(std::uint64_t event) const
+// Returns the number of tokens that the run has generated since the event.
+std::uint32_t StreamExchange::tokensSince(std::uint64_t event) const
 {
     const auto events = static_cast<std::uint32_t>(this->lastEvent - event);
     return events * std::max<std::uint32_t>(1, this->traits.tokensPerEvent);
 }
 
-void StreamExchange::dropLeg(std::shared_ptr<StreamLeg> &leg)
+void StreamExchange::closeLeg(std::shared_ptr<StreamLeg> &leg)
 {
     if (!leg)
         return;
     leg->call->cancel();
     const bool running = leg == this->current;
-    this->room.giveBack(leg->target.id, running ? this->grownSince(this->eventsBeforeLeg) : 0);
+    this->reservations.release(leg->target.id,
+                               running ? this->tokensSince(this->eventsBeforeLeg) : 0);
     leg.reset();
 }
 
@@ -274,29 +279,29 @@
 {
     this->overlapTimer.cancel();
     this->moveTimer.cancel();
-    this->dropLeg(this->current);
-    this->dropLeg(this->next);
-    this->dropMove();
+    this->closeLeg(this->current);
+    this->closeLeg(this->next);
+    this->cancelMove();
     this->planTimer.cancel();
-    this->roomTimer.cancel();
+    this->capacityTimer.cancel();
     this->silenceTimer.cancel();
-    this->room.giveBackAll();
+    this->reservations.releaseAll();
 }
 
 void StreamExchange::legHead(StreamLeg &leg)
 {
-    this->context.selfReports.hearServed(leg.target.id, leg.head,
-                                         this->context.clock.now() - leg.openedAt);
+    this->context.selfReports.recordServedAnswer(leg.target.id, leg.head,
+                                                 this->context.clock.now() - leg.openedAt);
     if (this->isFinished())
         return;
-    const AnswerFacts said =
+    const AnswerFacts answerFacts =
             this->context.dialect.describeAnswer(leg.head.status, leg.head.headers);
-    if (!said.attemptId.empty() && said.attemptId != this->facts().attemptId) {
+    if (!answerFacts.attemptId.empty() && answerFacts.attemptId != this->facts().attemptId) {
         leg.call->cancel();
         return this->legEnded(leg, {false, true, "answer_to_another_request"});
     }
     if (leg.streaming && this->next.get() == &leg)
-        this->takeOver();
+        this->switchToNext();
 }
 
 void StreamExchange::beginAnswer(const MessageHead &head)
@@ -316,55 +321,56 @@
         return;
     const std::optional<std::uint64_t> id = parseEventId(event.id);
     if (id && *id <= this->lastEvent)
-        return; // passed on already, from the engine that ran it before
+        return; // already forwarded, from the previous engine
     if (id && this->lastEvent > 0 && *id != this->lastEvent + 1) {
         leg.call->cancel();
         return this->legEnded(leg, {false, true, "event_missing"});
     }
     if (this->next.get() == &leg)
-        this->takeOver();
+        this->switchToNext();
     if (id)
         this->lastEvent = *id;
-    this->notePause();
+    this->recordEventGap();
     this->beginAnswer(leg.head);
     this->caller->write(event.text);
-    this->noteProgress(leg);
+    this->recordProgress(leg);
     this->context.engines.firstToken(leg.target.id, this->facts().attemptId);
     this->context.engines.answered(leg.target.id);
-    if (this->caller->pendingBytes() > mostPendingBytes)
+    if (this->caller->pendingBytes() > maxPendingBytes)
         leg.call->setPaused(true);
     this->plan.eventMade();
     if (this->plan.isLeaving())
-        this->act();
+        this->executeNextStep();
 }
 
-// The end of an engine is not laid at the door of a run that it has worked on for a while.
-void StreamExchange::noteProgress(StreamLeg &leg) const
+// Reports the run as safe once the engine has worked on it for long enough, so that a later crash
+// of the engine is not attributed to the run.
+void StreamExchange::recordProgress(StreamLeg &leg) const
 {
     const TimePoint now = this->context.clock.now();
     if (!leg.firstEventAt)
         leg.firstEventAt = now;
-    if (leg.proven || now - *leg.firstEventAt < provenAfter)
+    if (leg.proven || now - *leg.firstEventAt < minProvenRunTime)
         return;
     leg.proven = true;
-    this->noteRanWell();
+    this->reportSafeRun();
 }
 
-void StreamExchange::notePause()
+void StreamExchange::recordEventGap()
 {
     const TimePoint now = this->context.clock.now();
     if (!this->answerBegun) {
         this->firstEventAfter = now - this->request().arrived;
     } else if (now - this->lastEventAt > this->longestPause) {
         this->longestPause = now - this->lastEventAt;
-        this->pausedBefore = this->lastEvent;
+        this->eventAfterLongestPause = this->lastEvent;
     }
     this->lastEventAt = now;
 }
 
-// Remembers engines that fail what they are given, and tells the other instances. That the runs of
-// an engine which has said that it leaves end early says nothing of it.
-void StreamExchange::noteOutcome(const StreamLeg &leg, const TargetCallEnd &end)
+// Records engines that fail requests and announces them to the other instances. Runs that end early
+// at an engine that is shutting down as announced do not count as failures.
+void StreamExchange::recordOutcome(const StreamLeg &leg, const TargetCallEnd &end)
 {
     const bool refused = end.whole && !leg.streaming;
     const TargetEntry *listed = this->context.directory.find(leg.target.id);
@@ -374,7 +380,7 @@
     this->context.notices.announceFailed(leg.target.id);
 }
 
-bool StreamExchange::vouchedNotRun(const StreamLeg &leg, const TargetCallEnd &end) const
+bool StreamExchange::reportedNotRun(const StreamLeg &leg, const TargetCallEnd &end) const
 {
     return end.whole && !leg.streaming &&
            this->context.dialect.describeAnswer(leg.head.status, leg.head.headers).notExecuted;
@@ -385,45 +391,45 @@
     if (this->isFinished())
         return;
     this->sends += end.bytesSent ? 1 : 0;
-    this->runs += end.bytesSent && !this->vouchedNotRun(leg, end) ? 1 : 0;
-    this->noteOutcome(leg, end);
+    this->runs += end.bytesSent && !this->reportedNotRun(leg, end) ? 1 : 0;
+    this->recordOutcome(leg, end);
     if (end.lostConnection && end.bytesSent && !leg.proven)
-        this->noteLostUnanswered(leg.target, leg.openedAt);
+        this->reportLostUnanswered(leg.target, leg.openedAt);
     if (this->next.get() == &leg)
-        return this->nextLost(end.whole ? "refused_by_engine" : end.reason);
+        return this->onNextLost(end.whole ? "refused_by_engine" : end.reason);
     if (this->current.get() != &leg)
         return;
     if (!end.whole || leg.events.inEvent())
-        return this->currentLost(end.whole ? "event_cut" : end.reason);
+        return this->onCurrentLost(end.whole ? "event_cut" : end.reason);
     if (!leg.streaming)
-        return this->passOnAnswer(leg);
-    this->noteRanWell();
+        return this->forwardNonStreamAnswer(leg);
+    this->reportSafeRun();
     this->beginAnswer(leg.head);
     this->caller->finish();
     this->finish(ResultCode::Ok, okStatus, leg.target.id);
 }
 
-// The engine answered with something else than a stream.
-void StreamExchange::passOnAnswer(StreamLeg &leg)
+// Handles an engine answer that is not a stream.
+void StreamExchange::forwardNonStreamAnswer(StreamLeg &leg)
 {
-    const AnswerFacts said =
+    const AnswerFacts answerFacts =
             this->context.dialect.describeAnswer(leg.head.status, leg.head.headers);
     if (this->answerBegun || leg.resumed)
-        return this->answerOwn(ResultCode::TargetLost, "resume_refused");
-    if (!said.notExecuted) {
+        return this->answerWithResult(ResultCode::TargetLost, "resume_refused");
+    if (!answerFacts.notExecuted) {
         const MessageHead head = leg.head;
         const std::string body = leg.plainBody;
         const std::string target = leg.target.id;
-        return this->answerWhole(head, body, target);
+        return this->forwardAnswer(head, body, target);
     }
-    this->dropLeg(this->current);
-    const bool mayTry = this->runs < this->route().maxAttempts && !this->untried().empty();
+    this->closeLeg(this->current);
+    const bool mayTry = this->runs < this->route().maxAttempts && !this->untriedTargets().empty();
     if (mayTry && this->context.retries.take(this->serviceName)) {
         this->logDecision("request_retried", {{"reason", "refused_by_engine"}});
         return this->attempt();
     }
-    this->answerOwn(this->uncertain ? ResultCode::TargetLost : ResultCode::TargetFull,
-                    "refused_by_engine");
+    this->answerWithResult(this->uncertain ? ResultCode::TargetLost : ResultCode::TargetFull,
+                           "refused_by_engine");
 }
 
 std::shared_ptr<Exchange> makeStreamExchange(ExchangeContext &context,
--- a/lib/Proxy/streamexchange.h
+++ b/lib/Proxy/streamexchange.h
@@ -1,27 +1,27 @@
-// A request whose answer is a stream, with the run that makes its events. How it is served stands
-// in streamexchange.cpp, how it goes on at other engines in streamhandover.cpp.
+// A request whose answer is an event stream, and the engine run that generates the events. Serving
+// is implemented in streamexchange.cpp, moving the run to other engines in streamhandover.cpp.
 #ifndef JAYTRACK_LIB_PROXY_STREAMEXCHANGE_H
 #define JAYTRACK_LIB_PROXY_STREAMEXCHANGE_H
 
-#include "jaytrack/Proxy/engineroom.h"
+#include "jaytrack/Proxy/enginereservations.h"
 #include "jaytrack/Proxy/exchange.h"
 #include "jaytrack/Routing/runplan.h"
 #include "jaytrack/Stream/sse.h"
 
 namespace jaytrack {
 
-// Bytes that may wait for a slow caller before reading from the engine pauses.
-constexpr std::size_t mostPendingBytes = 128U << 10U;
+// Maximum bytes buffered for a slow caller before reading from the engine is paused.
+constexpr std::size_t maxPendingBytes = 128U << 10U;
 
 class StreamExchange;
 
-// One connection to an engine that carries the stream or a part of it.
+// One connection to an engine, which carries the stream or a part of it.
 class StreamLeg final : public TargetCallListener
 {
 public:
-    StreamLeg(std::weak_ptr<StreamExchange> to, TargetEntry at, bool resumes)
-        : owner(std::move(to))
-        , target(std::move(at))
+    StreamLeg(std::weak_ptr<StreamExchange> exchange, TargetEntry engine, bool resumes)
+        : owner(std::move(exchange))
+        , target(std::move(engine))
         , resumed(resumes)
     {
     }
@@ -37,18 +37,18 @@
     MessageHead head;
     std::string plainBody;
     SseSplitter events;
-    bool streaming = false; // the engine answers with events
+    bool streaming = false; // the engine answers with an event stream
     TimePoint openedAt;
     std::optional<TimePoint> firstEventAt;
-    bool proven = false; // the engine has gone on long enough not to be ended by the run
+    bool proven = false; // the engine ran long enough that the run is not blamed for a crash
 };
 
-// A call by which an engine is told to copy a run to another one.
+// A call that tells an engine to copy a run to another engine.
 class MoveCall final : public TargetCallListener
 {
 public:
-    explicit MoveCall(std::weak_ptr<StreamExchange> to)
-        : owner(std::move(to))
+    explicit MoveCall(std::weak_ptr<StreamExchange> exchange)
+        : owner(std::move(exchange))
     {
     }
 
@@ -58,19 +58,19 @@
 
     std::weak_ptr<StreamExchange> owner;
     std::shared_ptr<TargetCall> call;
-    std::string source; // id of the engine that is asked
+    std::string source; // id of the engine that holds the run
     TargetEntry destination;
     int status = 0;
     std::string body;
 };
 
-// A request whose answer is a stream of events. The run that makes them may go on at other engines;
-// towards the caller it stays one stream, with each event once and in order.
+// A request whose answer is a stream of events. The run that generates them may continue at other
+// engines; the caller receives a single stream with each event once and in order.
 class StreamExchange final : public Exchange
 {
 public:
-    StreamExchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> from,
-                   AdmittedRequest given);
+    StreamExchange(ExchangeContext &shared, std::shared_ptr<CallerConnection> connection,
+                   AdmittedRequest admittedRequest);
 
     void onTargetLeaving(const TargetEntry &entry, std::string_view reason) override;
     void onDataCentreOutOfUse(std::string_view dataCentre) override;
@@ -78,15 +78,15 @@
     void onCallerWritable() override
     {
         if (this->current && this->current->call &&
-            this->caller->pendingBytes() < mostPendingBytes / 2)
+            this->caller->pendingBytes() < maxPendingBytes / 2)
             this->current->call->setPaused(false);
     }
 
     void legHead(StreamLeg &leg);
     void legEvent(StreamLeg &leg, const SseEvent &event);
     void legEnded(StreamLeg &leg, const TargetCallEnd &end);
-    void noteOutcome(const StreamLeg &leg, const TargetCallEnd &end);
-    void moveHead(const MoveCall &move, const MessageHead &head);
+    void recordOutcome(const StreamLeg &leg, const TargetCallEnd &end);
+    void moveHead(const MoveCall &moveCall, const MessageHead &head);
     void moveEnded(MoveCall &move, const TargetCallEnd &end);
 
 protected:
@@ -109,62 +109,63 @@
 
     void begin(const TargetEntry &engine);
     std::shared_ptr<StreamLeg> open(const TargetEntry &target, std::optional<ResumePoint> resume);
-    void syncCopy();
-    void forgetCopyAt(const std::string &engine);
-    std::vector<const TargetEntry *> refuges() const;
-    void act();
+    void updateCopyReservation();
+    void discardCopyAt(const std::string &engine);
+    std::vector<const TargetEntry *> copyDestinations() const;
+    void executeNextStep();
     void resume(const RunStep &step);
     void makeCopy();
-    void askForCopy(const TargetEntry &source, const TargetEntry &destination);
-    void ifPermitted(const std::string &target, const std::function<void(bool)> &goOn);
-    void orderCopy(const TargetEntry &destination);
+    void requestCopyPermits(const TargetEntry &source, const TargetEntry &destination);
+    void ifPermitted(const std::string &target, const std::function<void(bool)> &proceed);
+    void startCopy(const TargetEntry &destination);
     void copyFailed(std::string_view destination);
     void watchSilence();
-    void watchPlan();
-    void takeOver();
-    void dropLeg(std::shared_ptr<StreamLeg> &leg);
-    void dropMove();
-    std::uint32_t grownSince(std::uint64_t event) const;
-    void currentLost(std::string_view reason);
-    void nextLost(std::string_view reason);
-    void passOnAnswer(StreamLeg &leg);
-    bool vouchedNotRun(const StreamLeg &leg, const TargetCallEnd &end) const;
-    void notePause();
-    void noteProgress(StreamLeg &leg) const;
+    void schedulePlanCheck();
+    void switchToNext();
+    void closeLeg(std::shared_ptr<StreamLeg> &leg);
+    void cancelMove();
+    std::uint32_t tokensSince(std::uint64_t event) const;
+    void onCurrentLost(std::string_view reason);
+    void onNextLost(std::string_view reason);
+    void forwardNonStreamAnswer(StreamLeg &leg);
+    bool reportedNotRun(const StreamLeg &leg, const TargetCallEnd &end) const;
+    void recordEventGap();
+    void recordProgress(StreamLeg &leg) const;
     void beginAnswer(const MessageHead &head);
-    void beginLeg(const StreamLeg &leg);
-    void waitForRoom();
-    Duration patience() const;
-    Duration usableDelay() const;
-    std::vector<const TargetEntry *> ownShare(std::vector<const TargetEntry *> engines) const;
+    void onLegStarted(const StreamLeg &leg);
+    void waitForCapacity();
+    Duration maxCapacityWait() const;
+    Duration maxEngineDelay() const;
+    std::vector<const TargetEntry *>
+    assignedEngines(std::vector<const TargetEntry *> engines) const;
 
     EngineTraits traits;
     GenerationNeed need;
-    EngineChoice::Shortage shortage; // of the last choice for this request
+    EngineChoice::Shortage shortage; // from the last engine selection for this request
     std::shared_ptr<StreamLeg> current;
-    std::shared_ptr<StreamLeg> next; // takes over from current
+    std::shared_ptr<StreamLeg> next; // replaces current when it takes over the run
     std::shared_ptr<MoveCall> move;
-    EngineRoom room;
+    EngineReservations reservations;
     RunPlan plan;
-    bool copyAsked = false;            // whether engines that name limits take it is being asked
-    std::string permittedAt;           // the engine that takes the run from its copy
-    std::string copyHolder;            // the engine whose room for the copy is accounted for
-    std::uint64_t eventsBeforeLeg = 0; // passed on before the current engine took the run
+    bool copyPermitsPending = false; // permits of rate-limited engines have been requested
+    std::string permittedEngine; // destination engine whose permit for the run was already granted
+    std::string copyHolder;      // engine at which memory for the copy is reserved
+    std::uint64_t eventsBeforeLeg = 0; // forwarded before the current engine took over
     asio::steady_timer overlapTimer;
     asio::steady_timer moveTimer;
     asio::steady_timer planTimer;
-    asio::steady_timer roomTimer;
+    asio::steady_timer capacityTimer;
     asio::steady_timer silenceTimer;
-    std::uint64_t lastEvent = 0; // the last one that was passed on
+    std::uint64_t lastEvent = 0; // last event that was forwarded
     bool answerBegun = false;
     std::string lossReason;
-    TimePoint lostAt;       // when the engine of a run that had begun was lost
+    TimePoint lostAt;       // when the engine was lost after the run had begun
     bool uncertain = false; // some engine may have worked on the request before the current leg
-    int handOvers = 0;
+    int handovers = 0;
     TimePoint lastEventAt;
-    Duration firstEventAfter{-1};   // from the request's arrival
-    Duration longestPause{0};       // between two events
-    std::uint64_t pausedBefore = 0; // the event that ended the longest pause
+    Duration firstEventAfter{-1};             // measured from the arrival of the request
+    Duration longestPause{0};                 // between two events
+    std::uint64_t eventAfterLongestPause = 0; // event that ended the longest pause
 };
 
 } // namespace jaytrack
--- a/lib/Proxy/streamhandover.cpp
+++ b/lib/Proxy/streamhandover.cpp
@@ -1,4 +1,4 @@
-// How a run goes on at another engine when its own leaves or is lost.
+// Moves a run to another engine when its own engine shuts down or is lost.
 #include "streamexchange.h"
 
 #include "jaytrack/Net/socket.h"
@@ -10,21 +10,23 @@
 
 namespace {
 
-// A run that goes on at another engine must not be worked on at both for long; the old connection
-// is closed this long after the new one was opened, or as soon as the new engine has taken the run.
-constexpr std::chrono::milliseconds mostOverlap{250};
+// Limits how long two engines may work on the same run: the old connection is closed this long
+// after the new one was opened, or as soon as the new engine has taken over the run.
+constexpr std::chrono::milliseconds maxOverlap{250};
 
-// How often a run whose engine is leaving looks what can be done, a few times in the pause after a
-// refused copy.
-constexpr std::chrono::milliseconds planGap{40};
+// Interval at which the plan of a run is re-evaluated while its engine is shutting down. It allows
+// several checks during the pause after a refused copy.
+constexpr std::chrono::milliseconds planCheckInterval{40};
 
-// A copy of a whole run takes half a second between data centres when it is first in the queue.
-constexpr std::chrono::milliseconds moveBound{2500};
+// Time limit of a copy. Copying a whole run between data centres takes half a second when it is
+// first in the queue.
+constexpr std::chrono::milliseconds copyTimeout{2500};
 
-// A run whose engine started again is given up once its connection has been silent for this long.
-// Engines make an event every 30 ms; one that died behind a cut sends nothing ever, while a run
-// that went to the new life before its listing came here goes on.
-constexpr std::chrono::seconds mostSilence{1};
+// A run whose engine has restarted is considered lost once its connection has been silent for this
+// long. Engines generate an event every 30 ms. An engine that died behind a network partition never
+// sends anything, while a run that was sent to the restarted engine before its listing arrived here
+// continues.
+constexpr std::chrono::seconds maxSilence{1};
 
 constexpr int okStatus = 200;
 
@@ -33,55 +35,56 @@
 void StreamExchange::onTargetLeaving(const TargetEntry &entry, std::string_view reason)
 {
     this->plan.engineLeaving(entry.id);
-    const bool concerned = this->current && this->current->target.id == entry.id;
-    if (concerned) {
+    const bool affectsCurrent = this->current && this->current->target.id == entry.id;
+    if (affectsCurrent) {
         this->logDecision("engine_leaving", {{"target", entry.id},
                                              {"reason", reason},
                                              {"events", static_cast<std::int64_t>(this->lastEvent)},
                                              {"copy_at", this->plan.copyHolder()}});
     }
-    this->syncCopy();
-    this->act();
-    if (concerned)
-        this->watchPlan();
+    this->updateCopyReservation();
+    this->executeNextStep();
+    if (affectsCurrent)
+        this->schedulePlanCheck();
 }
 
-// A copy that lies where nothing may be sent any more is of no use, nor is one on its way there.
+// Discards a finished or pending copy in the data centre, because nothing may be sent there any
+// more.
 void StreamExchange::onDataCentreOutOfUse(std::string_view dataCentre)
 {
     const TargetEntry *holder = this->context.directory.find(this->plan.copyHolder());
     if (holder != nullptr && holder->dataCentre == dataCentre)
-        this->forgetCopyAt(std::string(holder->id));
+        this->discardCopyAt(std::string(holder->id));
     if (this->move && this->move->destination.dataCentre == dataCentre)
-        this->forgetCopyAt(std::string(this->move->destination.id));
+        this->discardCopyAt(std::string(this->move->destination.id));
     if (this->plan.isLeaving())
-        this->act();
+        this->executeNextStep();
 }
 
-void StreamExchange::forgetCopyAt(const std::string &engine)
+void StreamExchange::discardCopyAt(const std::string &engine)
 {
     if (this->plan.copyHolder() == engine) {
         this->plan.copyRefused();
-        this->syncCopy();
+        this->updateCopyReservation();
     }
     if (this->move && this->move->destination.id == engine) {
-        this->dropMove();
+        this->cancelMove();
         this->plan.copyFailed(engine);
     }
 }
 
 void StreamExchange::onTargetRestarted(const TargetEntry &ended)
 {
-    this->forgetCopyAt(ended.id);
+    this->discardCopyAt(ended.id);
     if (this->next && this->next->target.id == ended.id)
-        return this->nextLost("engine_restarted");
+        return this->onNextLost("engine_restarted");
     if (this->current && this->current->target.id == ended.id)
         this->watchSilence();
 }
 
 void StreamExchange::watchSilence()
 {
-    this->silenceTimer.expires_after(mostSilence);
+    this->silenceTimer.expires_after(maxSilence);
     this->silenceTimer.async_wait([self = this->self(), leg = this->current,
                                    event = this->lastEvent](const asio::error_code &failure) {
         const bool moved = self->current != leg;
@@ -89,65 +92,65 @@
             return;
         if (self->lastEvent != event)
             return self->watchSilence();
-        self->currentLost("engine_restarted");
+        self->onCurrentLost("engine_restarted");
     });
 }
 
 void MoveCall::onAnswerHead(MessageHead head)
 {
     this->status = head.status;
-    if (const auto to = this->owner.lock())
-        to->moveHead(*this, head);
+    if (const auto exchange = this->owner.lock())
+        exchange->moveHead(*this, head);
 }
 
-void StreamExchange::moveHead(const MoveCall &asked, const MessageHead &head)
+void StreamExchange::moveHead(const MoveCall &moveCall, const MessageHead &head)
 {
-    this->context.selfReports.hear(asked.source, head);
+    this->context.selfReports.recordAnswer(moveCall.source, head);
 }
 
 void MoveCall::onCallEnd(const TargetCallEnd &end)
 {
-    if (const auto to = this->owner.lock())
-        to->moveEnded(*this, end);
+    if (const auto exchange = this->owner.lock())
+        exchange->moveEnded(*this, end);
 }
 
-// Keeps the account of the room that the run's copy takes.
-void StreamExchange::syncCopy()
+// Releases the memory reserved for the previous copy when the plan's copy holder has changed.
+void StreamExchange::updateCopyReservation()
 {
     const std::string_view holder = this->plan.copyHolder();
     if (holder == this->copyHolder)
         return;
     const bool runsThere = this->current && this->current->target.id == this->copyHolder;
     if (!runsThere)
-        this->room.giveBack(this->copyHolder, 0);
+        this->reservations.release(this->copyHolder, 0);
     this->copyHolder = holder;
 }
 
-// Gives up a copy that is under way.
-void StreamExchange::dropMove()
+// Cancels the copy in progress.
+void StreamExchange::cancelMove()
 {
     if (!this->move)
         return;
     this->move->call->cancel();
-    this->room.giveBack(this->move->destination.id, 0);
+    this->reservations.release(this->move->destination.id, 0);
     this->move.reset();
 }
 
-// The new engine has the run, so the old one is told to stop.
-void StreamExchange::takeOver()
+// Closes the connection to the old engine, because the new engine has taken over the run.
+void StreamExchange::switchToNext()
 {
     this->overlapTimer.cancel();
-    // From here on the run has begun, whatever becomes of the connection to its new engine.
+    // From here on the run has begun, even if the connection to the new engine fails.
     this->uncertain = true;
-    this->dropLeg(this->current);
+    this->closeLeg(this->current);
     this->current = std::move(this->next);
     this->next.reset();
-    this->beginLeg(*this->current);
-    ++this->handOvers;
+    this->onLegStarted(*this->current);
+    ++this->handovers;
     this->context.metrics.count("jaytrack_runs_taken_over_total");
 }
 
-void StreamExchange::currentLost(std::string_view reason)
+void StreamExchange::onCurrentLost(std::string_view reason)
 {
     this->logDecision("engine_lost", {{"target", this->current->target.id},
                                       {"digest", this->digest()},
@@ -155,30 +158,30 @@
                                       {"events", static_cast<std::int64_t>(this->lastEvent)}});
     const bool sent = this->current->call->bytesSent();
     if (this->next)
-        return this->takeOver();
-    this->dropLeg(this->current);
+        return this->switchToNext();
+    this->closeLeg(this->current);
     if (!sent && !this->uncertain)
         return this->attempt();
     this->uncertain = true;
     this->lostAt = this->context.clock.now();
-    this->dropMove();
+    this->cancelMove();
     this->plan.runningLost();
     this->lossReason = reason;
-    this->act();
+    this->executeNextStep();
 }
 
-void StreamExchange::nextLost(std::string_view reason)
+void StreamExchange::onNextLost(std::string_view reason)
 {
     this->logDecision("resume_failed", {{"target", this->next->target.id}, {"reason", reason}});
     this->overlapTimer.cancel();
-    this->dropLeg(this->next);
+    this->closeLeg(this->next);
     this->plan.copyRefused();
-    this->syncCopy();
-    this->act();
+    this->updateCopyReservation();
+    this->executeNextStep();
 }
 
-// Does what the plan asks for now.
-void StreamExchange::act()
+// Executes the next step of the plan.
+void StreamExchange::executeNextStep()
 {
     if (this->isFinished() || this->next)
         return;
@@ -193,25 +196,25 @@
     case RunStepKind::StartAnew:
         if (this->runs < this->route().maxAttempts && this->context.retries.take(this->serviceName))
             return this->attempt();
-        return this->answerOwn(ResultCode::TargetLost, this->lossReason);
+        return this->answerWithResult(ResultCode::TargetLost, this->lossReason);
     case RunStepKind::Lost:
-        return this->answerOwn(ResultCode::TargetLost, this->lossReason);
+        return this->answerWithResult(ResultCode::TargetLost, this->lossReason);
     }
 }
 
-// While the engine is leaving the plan is looked at from time to time: refused copies are tried
-// again.
-void StreamExchange::watchPlan()
+// Re-evaluates the plan periodically while the engine is shutting down, so that refused copies are
+// retried.
+void StreamExchange::schedulePlanCheck()
 {
-    this->planTimer.expires_after(planGap);
+    this->planTimer.expires_after(planCheckInterval);
     this->planTimer.async_wait(
             [weak = this->weak_from_this(), this](const asio::error_code &failure) {
                 const auto alive = weak.lock();
                 if (failure || !alive || this->isFinished())
                     return;
-                this->act();
+                this->executeNextStep();
                 if (!this->isFinished() && this->plan.isLeaving())
-                    this->watchPlan();
+                    this->schedulePlanCheck();
             });
 }
 
@@ -220,97 +223,100 @@
     const TargetEntry *listed = this->context.directory.find(step.target);
     if (listed == nullptr) {
         this->plan.copyRefused();
-        this->syncCopy();
-        return this->act();
+        this->updateCopyReservation();
+        return this->executeNextStep();
     }
     const TargetEntry at = *listed;
-    this->dropMove();
-    if (this->permittedAt != at.id)
+    this->cancelMove();
+    if (this->permittedEngine != at.id)
         this->context.limits.countSent(at.id);
-    this->permittedAt.clear();
+    this->permittedEngine.clear();
     this->next = this->open(at, step.from);
     if (!this->next) {
         this->plan.copyRefused();
-        return this->act();
+        return this->executeNextStep();
     }
-    this->overlapTimer.expires_after(mostOverlap);
+    this->overlapTimer.expires_after(maxOverlap);
     this->overlapTimer.async_wait([self = this->self()](const asio::error_code &failure) {
         if (failure || !self->next || self->isFinished())
             return;
-        // An engine that nothing was sent to does not work on the run; the old one still does.
+        // If nothing was sent to the new engine, only the old one works on the run.
         if (self->next->call->bytesSent())
-            return self->takeOver();
-        self->nextLost("not_reached");
+            return self->switchToNext();
+        self->onNextLost("not_reached");
     });
 }
 
-// A run that has fled cannot wait until an engine that is cold, or names a limit, takes one more,
-// so those are the last choice.
-std::vector<const TargetEntry *> StreamExchange::refuges() const
+// Returns the engines to which the run may be copied. A moved run cannot wait until an engine that
+// is cold or has a rate limit accepts another request, so those are only returned if there are no
+// others.
+std::vector<const TargetEntry *> StreamExchange::copyDestinations() const
 {
     std::vector<const TargetEntry *> open = this->usableTargets();
     std::vector<const TargetEntry *> free = open;
     std::erase_if(free, [this](const TargetEntry *engine) {
         return this->context.cold.isCold(engine->id) || this->context.limits.limitOf(engine->id);
     });
-    return this->ownShare(free.empty() ? std::move(open) : std::move(free));
+    return this->assignedEngines(free.empty() ? std::move(open) : std::move(free));
 }
 
 void StreamExchange::makeCopy()
 {
-    if (!this->current || this->move || this->copyAsked)
+    if (!this->current || this->move || this->copyPermitsPending)
         return;
-    // The order is a request to the engine that leaves.
+    // The copy order is itself a request to the engine that is shutting down.
     if (this->context.limits.rest(this->current->target.id) > Duration(0))
         return;
-    const std::vector<const TargetEntry *> engines = this->refuges();
+    const std::vector<const TargetEntry *> engines = this->copyDestinations();
     const TargetEntry *chosen = this->context.engines.chooseRefuge(
             engines, this->traits, this->need, this->current->target, this->plan.unfit());
     if (chosen != nullptr)
-        this->askForCopy(this->current->target, *chosen);
+        this->requestCopyPermits(this->current->target, *chosen);
 }
 
-// What is not permitted is tried again at the next look, at another engine perhaps.
-void StreamExchange::askForCopy(const TargetEntry &source, const TargetEntry &destination)
+// Requests permits for the destination and the source, then starts the copy. If a permit is denied,
+// the next plan check retries, possibly with another engine.
+void StreamExchange::requestCopyPermits(const TargetEntry &source, const TargetEntry &destination)
 {
-    this->copyAsked = true;
+    this->copyPermitsPending = true;
     this->ifPermitted(destination.id, [this, source, destination](bool takesTheRun) {
         if (!takesTheRun) {
-            this->copyAsked = false;
+            this->copyPermitsPending = false;
             return;
         }
         this->ifPermitted(source.id, [this, source, destination](bool takesTheOrder) {
-            this->copyAsked = false;
+            this->copyPermitsPending = false;
             const bool stillThere = this->current && this->current->target.id == source.id;
             if (takesTheOrder && stillThere && !this->move && this->isAllowed(destination))
-                this->orderCopy(destination);
+                this->startCopy(destination);
         });
     });
 }
 
-void StreamExchange::ifPermitted(const std::string &target, const std::function<void(bool)> &goOn)
+void StreamExchange::ifPermitted(const std::string &target,
+                                 const std::function<void(bool)> &proceed)
 {
     const std::weak_ptr<Exchange> weak = this->weak_from_this();
-    const auto later = [weak, this, goOn](const Permit &permit) {
+    const auto later = [weak, this, proceed](const Permit &permit) {
         const auto alive = weak.lock();
         if (alive && !this->isFinished())
-            goOn(permit.granted);
+            proceed(permit.granted);
     };
     if (const auto permit = this->context.limits.request(target, later))
-        goOn(permit->granted);
+        proceed(permit->granted);
 }
 
-void StreamExchange::orderCopy(const TargetEntry &destination)
+void StreamExchange::startCopy(const TargetEntry &destination)
 {
     const auto endpoint = parseEndpoint(this->current->target.address);
-    assert(endpoint && "the run's own connection was opened at this address");
+    assert(endpoint && "the current leg was opened with this address, so it must parse");
     this->plan.copyBegan();
-    this->permittedAt = destination.id;
-    // The copy is as large as the run has grown by now.
+    this->permittedEngine = destination.id;
+    // The copy includes the tokens generated so far.
     GenerationNeed copied = this->need;
     copied.promptTokens +=
             static_cast<std::uint32_t>(this->lastEvent) * this->traits.tokensPerEvent;
-    this->room.takeForCopy(destination.id, copied);
+    this->reservations.reserveForCopy(destination.id, copied);
     this->logDecision("run_copy", {{"from", this->current->target.id},
                                    {"to", destination.id},
                                    {"leaving", this->plan.isLeaving() ? 1 : 0},
@@ -327,7 +333,7 @@
     request.body =
             this->context.dialect.encodeMove(this->facts().attemptId, destination.address, false);
     this->move->call = TargetCall::start(this->context.loop, std::move(request), this->move);
-    this->moveTimer.expires_after(moveBound);
+    this->moveTimer.expires_after(copyTimeout);
     this->moveTimer.async_wait([self = this->self()](const asio::error_code &failure) {
         if (failure || !self->move || self->isFinished())
             return;
@@ -338,7 +344,7 @@
 
 void StreamExchange::copyFailed(std::string_view destination)
 {
-    this->room.giveBack(destination, 0);
+    this->reservations.release(destination, 0);
     this->plan.copyFailed(destination);
 }
 
@@ -360,8 +366,8 @@
                             {this->current->target.address, answer.value().handle});
     else
         this->copyFailed(done->destination.id);
-    this->syncCopy();
-    this->act();
+    this->updateCopyReservation();
+    this->executeNextStep();
 }
 
 } // namespace jaytrack
