--- a/include/jaytrack/Proxy/readduty.h
+++ b/include/jaytrack/Proxy/readduty.h
@@ -87,7 +87,7 @@
     // none. The reader that last had recent data is preferred, because a reader that the store
     // rejects also answers queries. While data is becoming old, readers and arbitrary peers are
     // queried alternately, because a randomly chosen instance may have newer data.
-    std::string whomToAsk(Duration age);
+    std::string choosePeerToQuery(Duration age);
 
 private:
     bool drawsToRead();
--- a/include/jaytrack/Proxy/storefeeds.h
+++ b/include/jaytrack/Proxy/storefeeds.h
@@ -29,7 +29,7 @@
     void onSharedChanges(const std::vector<StoreItem> &items, bool afterOutage) override;
     void onStoreLost(std::string_view reason) override;
     void onStoreRegained(Duration away) override;
-    void onStoreReturned() override;
+    void onStoreRestored() override;
 
     // Records that the table in force was the newest at asOf.
     void confirm(TimePoint asOf);
@@ -66,13 +66,13 @@
     void onSharedChanges(const std::vector<StoreItem> &items, bool afterOutage) override;
     void onStoreLost(std::string_view reason) override;
     void onStoreRegained(Duration away) override;
-    void onStoreReturned() override;
+    void onStoreRestored() override;
 
     // Records the time as of which the data was last confirmed, by this or another instance, and
     // whether that is too long ago. If so, the store is considered unavailable. An instance that
     // gets its updates from others makes no calls that would show this, and would remove entries
     // that only expired during an outage.
-    void noteKnowledge(TimePoint confirmedAsOf, bool tooOld);
+    void updateFreshness(TimePoint confirmedAsOf, bool tooOld);
 
     // Whether targets whose entries expired during an outage may still be restored.
     bool inGrace() const { return this->tooOld || this->graceRunning; }
@@ -124,7 +124,7 @@
     void onSharedChanges(const std::vector<StoreItem> &items, bool afterOutage) override;
     void onStoreLost(std::string_view reason) override;
     void onStoreRegained(Duration away) override;
-    void onStoreReturned() override;
+    void onStoreRestored() override;
 
 private:
     ConfigurationFeed &configuration;
--- a/include/jaytrack/Proxy/storefollower.h
+++ b/include/jaytrack/Proxy/storefollower.h
@@ -40,7 +40,7 @@
 
     // The store was restored from an older copy. Changes acknowledged after that copy was made are
     // missing until they are written again; the next listing belongs to the new history.
-    virtual void onStoreReturned() = 0;
+    virtual void onStoreRestored() = 0;
 };
 
 // Receives what this instance itself read, to send it to the others.
@@ -113,7 +113,7 @@
     void setActive(bool wanted);
 
     // Whether other instances read the store and send updates to this one.
-    void setTold(bool byOthers) { this->receivesUpdates = byOthers; }
+    void setReceivesUpdates(bool byOthers) { this->receivesUpdates = byOthers; }
 
     // Sets the number of instances, including this one.
     void setInstances(std::size_t count);
@@ -130,7 +130,7 @@
     // Records the store history (era) that another instance refers to. Returns false if it is older
     // than the known one, so that its data is no longer valid. A newer era makes this instance list
     // the store again. 0 means that the other instance does not know the number.
-    bool hearEra(std::uint64_t announced);
+    bool updateEra(std::uint64_t announced);
 
     // The history to which the known revision belongs; 0 if the store reports none.
     std::uint64_t knownEra() const { return this->era; }
--- a/lib/Proxy/readduty.cpp
+++ b/lib/Proxy/readduty.cpp
@@ -90,7 +90,7 @@
     return age > this->options.maxAge / 2;
 }
 
-std::string ReadDuty::whomToAsk(Duration age)
+std::string ReadDuty::choosePeerToQuery(Duration age)
 {
     const bool old = this->isOld(age);
     if (!old && !this->lastFreshReader.empty())
--- a/lib/Proxy/storefeeds.cpp
+++ b/lib/Proxy/storefeeds.cpp
@@ -77,7 +77,7 @@
 // A key may have been revoked by an acknowledged change that is not in the restored copy and never
 // reached this instance. Until that change is written again, the store cannot confirm that the
 // configuration in force is current.
-void ConfigurationFeed::onStoreReturned()
+void ConfigurationFeed::onStoreRestored()
 {
     this->uncertainFrom = this->clock.now();
     this->uncertainUntil = this->uncertainFrom + restoreGracePeriod;
@@ -214,7 +214,7 @@
 
 // Targets that registered after the copy was made are not in it and register again. Operators
 // also write their orders again; the previous orders stay in force until then.
-void TargetFeed::onStoreReturned()
+void TargetFeed::onStoreRestored()
 {
     this->metrics.count("jaytrack_store_returns_total");
     this->directory.forgetDataCentreRevisions();
@@ -231,7 +231,7 @@
         this->startGrace();
 }
 
-void TargetFeed::noteKnowledge(TimePoint asOf, bool old)
+void TargetFeed::updateFreshness(TimePoint asOf, bool old)
 {
     this->confirmedAsOf = asOf;
     const bool before = this->tooOld;
@@ -278,10 +278,10 @@
     this->targets.onStoreLost(reason);
 }
 
-void StoreFeeds::onStoreReturned()
+void StoreFeeds::onStoreRestored()
 {
-    this->configuration.onStoreReturned();
-    this->targets.onStoreReturned();
+    this->configuration.onStoreRestored();
+    this->targets.onStoreRestored();
 }
 
 void StoreFeeds::onStoreRegained(Duration away)
--- a/lib/Proxy/storefollower.cpp
+++ b/lib/Proxy/storefollower.cpp
@@ -82,7 +82,7 @@
     this->announcedRevision = to;
 }
 
-bool StoreFollower::hearEra(std::uint64_t announced)
+bool StoreFollower::updateEra(std::uint64_t announced)
 {
     if (announced == 0 || announced == this->era)
         return true;
@@ -122,7 +122,7 @@
     this->listing = true;
     this->pageAfter.clear();
     this->listed.clear();
-    this->listener.onStoreReturned();
+    this->listener.onStoreRestored();
     this->queryAfter(pause);
 }
 
--- a/lib/Proxy/storesharing.cpp
+++ b/lib/Proxy/storesharing.cpp
@@ -33,7 +33,7 @@
     this->duty.setPeers(names);
     if (this->follower == nullptr)
         return;
-    this->follower->setTold(!this->duty.isReader());
+    this->follower->setReceivesUpdates(!this->duty.isReader());
     this->follower->setInstances(names.size() + 1);
 }
 
@@ -43,7 +43,7 @@
         return;
     this->follower->tick();
     const Duration age = this->configuration.age();
-    this->targets.noteKnowledge(this->configuration.confirmedAsOf(), this->duty.showsOutage(age));
+    this->targets.updateFreshness(this->configuration.confirmedAsOf(), this->duty.showsOutage(age));
     const bool read = this->duty.reads(age);
     if (read != this->reading) {
         this->reading = read;
@@ -63,7 +63,7 @@
     const bool isConfirmedByStore = this->duty.isReader() && age < maxReaderAge;
     if (isConfirmedByStore || now < this->nextQuery)
         return;
-    const std::string queriedPeer = this->duty.whomToAsk(age);
+    const std::string queriedPeer = this->duty.choosePeerToQuery(age);
     if (queriedPeer.empty())
         return;
     this->nextQuery = now + queryInterval;
@@ -80,7 +80,7 @@
 
 void StoreSharing::onStoreFromPeer(const SharedChanges &changes)
 {
-    if (this->follower != nullptr && this->follower->hearEra(changes.era))
+    if (this->follower != nullptr && this->follower->updateEra(changes.era))
         this->follower->applyShared(changes.from, changes.to, changes.items, changes.incomplete,
                                     changes.afterOutage);
 }
@@ -104,7 +104,7 @@
     if (this->follower == nullptr || sentAt > this->clock.now() || age < Duration(0))
         return;
     // Revisions of different store histories cannot be compared.
-    if (!this->follower->hearEra(era))
+    if (!this->follower->updateEra(era))
         return;
     if (revision > this->follower->knownRevision())
         return this->follower->catchUp(revision);
--- a/unittests/Platform/followertest.cpp
+++ b/unittests/Platform/followertest.cpp
@@ -23,7 +23,7 @@
     void onSharedChanges(const std::vector<StoreItem> &items, bool) override { this->add(items); }
     void onStoreLost(std::string_view) override { ++this->lost; }
     void onStoreRegained(Duration) override { ++this->regained; }
-    void onStoreReturned() override { ++this->returned; }
+    void onStoreRestored() override { ++this->returned; }
     void onStoreRead(std::uint64_t, std::uint64_t, const std::vector<StoreItem> &) override {}
 
     std::vector<std::string> keys;
@@ -138,7 +138,7 @@
     std::size_t calls[2] = {};
     for (const bool told : {false, true}) {
         Follower own;
-        own.follower->setTold(told);
+        own.follower->setReceivesUpdates(told);
         own.store.failWith(503);
         const std::size_t before = own.store.calls();
         own.follower->setActive(true);
--- a/unittests/Platform/readdutytest.cpp
+++ b/unittests/Platform/readdutytest.cpp
@@ -174,10 +174,10 @@
     Fleet fleet(195);
     std::set<std::string> asked;
     for (int i = 0; i < 40; ++i)
-        asked.insert(fleet.duties[0]->whomToAsk(calm));
+        asked.insert(fleet.duties[0]->choosePeerToQuery(calm));
     cr_assert(asked.size() <= 3);
     for (int i = 0; i < 40; ++i)
-        asked.insert(fleet.duties[0]->whomToAsk(std::chrono::seconds(2)));
+        asked.insert(fleet.duties[0]->choosePeerToQuery(std::chrono::seconds(2)));
     cr_assert(asked.size() > 10);
 }
 
@@ -188,14 +188,14 @@
 {
     Fleet fleet(195);
     ReadDuty &duty = *fleet.duties[0];
-    const std::string good = duty.whomToAsk(calm);
+    const std::string good = duty.choosePeerToQuery(calm);
     duty.answered(good, calm);
     for (int i = 0; i < 20; ++i)
-        cr_assert(duty.whomToAsk(calm) == good);
+        cr_assert(duty.choosePeerToQuery(calm) == good);
     duty.answered(good, old);
     std::set<std::string> asked;
     for (int i = 0; i < 20; ++i)
-        asked.insert(duty.whomToAsk(calm));
+        asked.insert(duty.choosePeerToQuery(calm));
     cr_assert(asked.size() > 1);
 }
 
@@ -205,11 +205,11 @@
 Test(targetFeed, lapsedEntriesArePassedOverAfterNothingWasConfirmed)
 {
     TargetBelief belief;
-    belief.feed.noteKnowledge(belief.clock.now(), true);
+    belief.feed.updateFreshness(belief.clock.now(), true);
     belief.feed.onChanges({belief.removal}, belief.clock.now());
     cr_assert(belief.isUsed(), "kept while nobody reached the store");
     cr_assert(belief.feed.inGrace(), "and others are told so");
-    belief.feed.noteKnowledge(belief.clock.now(), false);
+    belief.feed.updateFreshness(belief.clock.now(), false);
     belief.loop.run_for(std::chrono::milliseconds(1900));
     cr_assert(belief.isUsed(), "kept until living targets had time to return");
     belief.loop.run_for(std::chrono::milliseconds(800));
@@ -221,7 +221,7 @@
 Test(targetFeed, whoeverReadTellsOfAnOutage)
 {
     TargetBelief belief;
-    belief.feed.noteKnowledge(belief.clock.now(), false);
+    belief.feed.updateFreshness(belief.clock.now(), false);
     belief.feed.onSharedChanges({belief.removal}, true);
     belief.loop.run_for(std::chrono::milliseconds(1900));
     cr_assert(belief.isUsed());
@@ -238,14 +238,14 @@
     TargetBelief belief;
     belief.feed.onStoreLost("reset");
     belief.clock.advance(std::chrono::seconds(2));
-    belief.feed.noteKnowledge(belief.clock.now(), false);
+    belief.feed.updateFreshness(belief.clock.now(), false);
     belief.feed.onSharedChanges({belief.removal}, false);
     cr_assert_not(belief.isUsed(), "told as gone by one that the store serves");
 
     TargetBelief later;
     later.feed.onStoreLost("reset");
     later.clock.advance(std::chrono::seconds(2));
-    later.feed.noteKnowledge(later.clock.now(), false);
+    later.feed.updateFreshness(later.clock.now(), false);
     later.feed.onStoreRegained(std::chrono::seconds(2));
     later.feed.onChanges({later.removal}, later.clock.now());
     cr_assert_not(later.isUsed(), "nothing has lapsed meanwhile");
@@ -256,7 +256,7 @@
 Test(targetFeed, outageOfAReaderIsOneIfNobodyElseReads)
 {
     TargetBelief belief;
-    belief.feed.noteKnowledge(belief.clock.now(), false);
+    belief.feed.updateFreshness(belief.clock.now(), false);
     belief.clock.advance(std::chrono::milliseconds(500));
     belief.feed.onStoreLost("no_answer");
     belief.clock.advance(std::chrono::milliseconds(1500));
--- a/unittests/Platform/storeeratest.cpp
+++ b/unittests/Platform/storeeratest.cpp
@@ -158,7 +158,7 @@
     void onSharedChanges(const std::vector<StoreItem> &items, bool) override { this->add(items); }
     void onStoreLost(std::string_view) override {}
     void onStoreRegained(Duration) override {}
-    void onStoreReturned() override { ++this->returns; }
+    void onStoreRestored() override { ++this->returns; }
     void onStoreRead(std::uint64_t, std::uint64_t, const std::vector<StoreItem> &) override {}
 
     std::map<std::string, std::string> values;
@@ -217,15 +217,15 @@
     fleet.run(settle);
     const std::uint64_t era = follower.knownEra();
     cr_assert_eq(era, 1);
-    cr_assert(follower.hearEra(era));
-    cr_assert(follower.hearEra(0), "one that knows no number is heard");
-    cr_assert(follower.hearEra(era + 1));
+    cr_assert(follower.updateEra(era));
+    cr_assert(follower.updateEra(0), "one that knows no number is heard");
+    cr_assert(follower.updateEra(era + 1));
     cr_assert_eq(fleet.recorders[0].returns, 1);
     cr_assert_eq(follower.knownRevision(), 0, "nothing is claimed until it is listed");
-    cr_assert_not(follower.hearEra(era), "late");
-    cr_assert(follower.hearEra(era + 1));
+    cr_assert_not(follower.updateEra(era), "late");
+    cr_assert(follower.updateEra(era + 1));
     cr_assert_eq(fleet.recorders[0].returns, 1);
-    cr_assert(follower.hearEra(era + 3), "two returns in a row");
+    cr_assert(follower.updateEra(era + 3), "two returns in a row");
     cr_assert_eq(fleet.recorders[0].returns, 2);
 }
 
@@ -256,7 +256,7 @@
                 fleet.run(std::chrono::milliseconds(random() % 40));
         }
         fleet.store.put("a", "last");
-        fleet.all[1]->hearEra(fleet.store.currentEra());
+        fleet.all[1]->updateEra(fleet.store.currentEra());
         fleet.all[1]->setActive(true);
         fleet.run(std::chrono::milliseconds(1500));
         for (const EraRecorder &recorder : fleet.recorders)
@@ -286,7 +286,7 @@
     Followers fleet(param->instances);
     fleet.run(std::chrono::milliseconds(800));
     for (const auto &follower : fleet.all) {
-        follower->setTold(true);
+        follower->setReceivesUpdates(true);
         follower->setInstances(param->instances);
         follower->setActive(false);
     }
@@ -297,7 +297,7 @@
     fleet.store.comeBackFromCopy();
     const std::size_t before = fleet.store.calls();
     for (const auto &follower : fleet.all)
-        follower->hearEra(2);
+        follower->updateEra(2);
     static constexpr std::size_t mostInHalfASecond = 70;
     fleet.run(std::chrono::milliseconds(500));
     cr_assert_leq(fleet.store.calls() - before, mostInHalfASecond, "%zu calls at once",
@@ -319,7 +319,7 @@
     ConfigurationFeed feed(clock, *dialect);
     feed.confirm(clock.now());
     clock.advance(std::chrono::milliseconds(800));
-    feed.onStoreReturned();
+    feed.onStoreRestored();
     clock.advance(std::chrono::milliseconds(100));
     feed.confirm(clock.now());
     cr_assert_eq(feed.age(), Duration(std::chrono::milliseconds(900)),
