--- a/include/jaytrack/Policy/baselines.h
+++ b/include/jaytrack/Policy/baselines.h
@@ -1,5 +1,5 @@
-// Well-known ways to place generations, kept to measure the production policy against. Each knows
-// only what one instance of such a system would know.
+// Well-known placement policies that the production policy is compared with in measurements. Except
+// for the oracle, each uses only the information that one instance of such a system has.
 #ifndef JAYTRACK_POLICY_BASELINES_H
 #define JAYTRACK_POLICY_BASELINES_H
 
@@ -11,18 +11,18 @@
 namespace jaytrack {
 
 enum class Baseline {
-    RoundRobin,       // engines in turn
-    LeastOutstanding, // the engine with the fewest of this instance's own generations
+    RoundRobin,       // uses the engines in turn
+    LeastOutstanding, // the engine with the fewest generations placed by this instance
     PowerOfTwo,       // the less loaded of two random engines, by their reports
     StaticThreshold,  // least outstanding below a fixed share of memory, else wait
-    Oracle // knows every length and every instance's load at once: the limit, not a competitor
+    Oracle // knows every length and the load of every instance: an upper bound, not a competitor
 };
 
-// All that the oracles of one simulated fleet see together.
+// The state that the oracles of all instances of one simulated fleet share.
 class OracleBoard;
 std::shared_ptr<OracleBoard> makeOracleBoard();
 
-// Makes a baseline. The board is needed by the oracle only.
+// Creates a baseline policy. Only the oracle needs the board.
 std::unique_ptr<PlacementPolicy> makeBaseline(Baseline kind, const Clock &clock, std::uint64_t seed,
                                               PlacementListener &listener,
                                               std::shared_ptr<OracleBoard> board = nullptr);
--- a/include/jaytrack/Policy/burnmeter.h
+++ b/include/jaytrack/Policy/burnmeter.h
@@ -1,5 +1,6 @@
-// How fast service levels are used up: good and bad requests by customer, subject and objective, in
-// time windows. Counts of several instances merge by addition.
+// Measures how fast service level objectives consume their error budgets: counts good and bad
+// requests by customer, subject and objective in time windows. Counts of several instances are
+// merged by addition.
 #ifndef JAYTRACK_POLICY_BURNMETER_H
 #define JAYTRACK_POLICY_BURNMETER_H
 
@@ -14,30 +15,31 @@
 
 namespace jaytrack {
 
-// What a request was to keep to. Durations of zero are no objective.
+// The objectives of a request. A duration of zero means that there is no such objective.
 struct ServiceLevel
 {
     Duration firstToken{0};
     Duration stall{0};
-    double share = 0.95; // of requests that must keep each objective
+    double share = 0.95; // share of requests that must meet each objective
 };
 
-// What one request turned out to be.
+// The measured outcome of one request.
 struct LevelSample
 {
     std::string customer;
     std::string subject; // model or service
     ServiceLevel level;
-    bool answered = false; // with the whole answer
+    bool answered = false; // the answer was complete
     Duration firstToken{0};
     Duration longestStall{0};
 };
 
-// The windows over which burn is told; the short ones wake people, the long ones confirm.
+// The windows over which the burn rate is reported. The short windows trigger alerts, the long ones
+// confirm them.
 inline constexpr std::array<std::chrono::minutes, 3> burnWindows = {
         std::chrono::minutes(5), std::chrono::minutes(60), std::chrono::minutes(360)};
 
-// Counts of one objective of one customer and subject, in each window.
+// The counts of one objective of one customer and subject in each window.
 struct BurnRow
 {
     std::string customer;
@@ -47,17 +49,17 @@
     std::array<std::uint64_t, burnWindows.size()> total{};
     std::array<std::uint64_t, burnWindows.size()> bad{};
 
-    // How many times faster than allowed the allowance of bad requests is used up; 1 uses it up
-    // exactly.
+    // The burn rate: the observed share of bad requests divided by the allowed share. At a rate
+    // of 1 the error budget is used up exactly.
     double burn(std::size_t window) const;
 };
 
-// Not safe for several threads at once.
+// Counts request outcomes per minute. Not thread-safe.
 class BurnMeter
 {
 public:
-    explicit BurnMeter(const Clock &time)
-        : clock(time)
+    explicit BurnMeter(const Clock &clockSource)
+        : clock(clockSource)
     {
     }
 
@@ -65,7 +67,7 @@
     std::vector<BurnRow> rows() const;
 
 private:
-    static constexpr std::size_t mostSeries = 8192;
+    static constexpr std::size_t maxSeries = 8192;
     static constexpr Duration bucketLength = std::chrono::minutes(1);
     static constexpr std::size_t buckets = 360;
 
@@ -79,19 +81,19 @@
     struct Series
     {
         double share = 0.95;
-        std::vector<Bucket> ring; // grows to its bound as time goes on
+        std::vector<Bucket> ring; // grows up to `buckets` entries
     };
 
     using Key = std::tuple<std::string, std::string, std::string>;
 
-    std::int64_t bucketNow() const;
+    std::int64_t currentBucket() const;
     void count(const LevelSample &sample, const char *objective, bool good);
 
     const Clock &clock;
     std::map<Key, Series> series;
 };
 
-// Adds the counts of another instance's rows.
+// Adds the counts of another instance's rows to `into`.
 void mergeBurn(std::vector<BurnRow> &into, const std::vector<BurnRow> &from);
 
 } // namespace jaytrack
--- a/include/jaytrack/Policy/enginehome.h
+++ b/include/jaytrack/Policy/enginehome.h
@@ -1,5 +1,6 @@
-// The one place that hands out an engine's room: the commitments on it, a forecast of its memory,
-// and the requests that wait for it.
+// Decides which generations may use an engine. Exactly one instance, the engine's home, does so; it
+// keeps the granted commitments, a forecast of the engine's memory, and the queue of waiting
+// requests.
 #ifndef JAYTRACK_POLICY_ENGINEHOME_H
 #define JAYTRACK_POLICY_ENGINEHOME_H
 
@@ -15,10 +16,10 @@
 
 namespace jaytrack {
 
-// Who holds or wants room: an instance and its own number for the request.
+// Identifies a request: the instance that sent it and that instance's own number for it.
 using GrantKey = std::pair<std::string, std::int64_t>;
 
-// One request for room, as its engine's home sees it.
+// A request for room on an engine, as the engine's home stores it.
 struct RoomRequest
 {
     GrantKey key;
@@ -26,47 +27,50 @@
     std::uint32_t weight = 1;
     int priority = 0;
     std::uint32_t promptTokens = 0;
-    std::uint32_t producedTokens = 0; // not zero if it already decodes, granted by a former home
+    // Non-zero if the generation already decodes and was granted by the previous home.
+    std::uint32_t producedTokens = 0;
     std::uint32_t maxTokens = 0;
     double overflowBound = 0.02;
-    TimePoint since; // when its caller asked
+    TimePoint since; // when the caller submitted it
     TimePoint deadline;
 };
 
-// How the decision on room can be varied for measurements.
+// Options that measurements vary.
 struct EngineHomeOptions
 {
-    bool fairShares = true; // by dominant share; else first come, first served
-    bool forecast = true;   // by survival; else by present memory and a fixed reserve
+    bool fairShares = true; // order by dominant share; otherwise first come, first served
+    // Forecast memory by survival probabilities; otherwise use present memory and a fixed reserve.
+    bool forecast = true;
 };
 
-// Decides about one engine. Not safe for several threads at once.
+// Grants room on one engine. Not thread-safe.
 class EngineHome
 {
 public:
-    EngineHome(EngineSpec engineSpec, const Clock &time, LengthEstimator &lengths,
-               EngineHomeOptions chosen);
+    EngineHome(EngineSpec engineSpec, const Clock &clockSource, LengthEstimator &estimator,
+               EngineHomeOptions homeOptions);
 
     void setSpec(const EngineSpec &engineSpec) { this->spec = engineSpec; }
     void report(const EngineReport &latest);
 
-    // Takes a request in. It is granted in a later call of grantRoom().
-    void ask(const RoomRequest &request);
+    // Adds a request to the queue. A later call of grantRoom() grants it.
+    void enqueue(const RoomRequest &request);
 
-    // Takes over a generation that already decodes.
+    // Commits room to a generation that already decodes.
     void adopt(const RoomRequest &request);
 
     void progress(const GrantKey &key, std::uint32_t producedTokens);
     void withdraw(const GrantKey &key);
     void departed(const GrantKey &key, Departure how, std::uint32_t producedTokens);
 
-    // Forgets everything of an instance that is gone.
+    // Drops all requests and commitments of an instance that has left.
     void forgetInstance(std::string_view instance);
 
-    // The requests that have room now, in the order in which they got it.
+    // Grants room to as many waiting requests as fit and returns them in the order in which
+    // they were granted.
     std::vector<RoomRequest> grantRoom();
 
-    // Those whose time to wait has run out.
+    // Removes and returns the requests whose deadline has passed.
     std::vector<RoomRequest> expire();
 
     bool takesWork() const;
@@ -76,18 +80,18 @@
     std::size_t queued() const { return this->waiting.size(); }
     std::size_t committed() const { return this->commitments.size(); }
 
-    // The share of memory that is free at the worst moment foreseen, in thousandths; may be below
-    // zero.
+    // The smallest free share of memory over all forecast horizons, or the free share of slots
+    // if that is smaller, in thousandths. May be negative.
     int roomPerMille();
 
-    // All that wait, taken out, when the engine takes no more work.
+    // Removes and returns all waiting requests, for use when the engine accepts no more work.
     std::vector<RoomRequest> takeWaiting();
 
 private:
     static constexpr std::size_t horizons = 12;
     using Sums = std::array<double, horizons>;
 
-    // What one generation adds to the forecast.
+    // The contribution of one generation to the memory forecast.
     struct Forecast
     {
         Sums mean{};
@@ -99,8 +103,8 @@
         RoomRequest request;
         std::uint32_t produced = 0;
         TimePoint grantedAt;
-        TimePoint toldAt; // when produced was told
-        Forecast counted; // its part of the sums
+        TimePoint reportedAt; // when `produced` was last reported
+        Forecast counted;     // its contribution to `sums`
     };
 
     double producedNow(const Commitment &commitment) const;
@@ -120,10 +124,11 @@
     EngineReport lastReport;
     std::map<GrantKey, Commitment> commitments;
     std::deque<RoomRequest> waiting;
-    std::map<std::string, std::pair<double, double>, std::less<>> usage; // memory, slots
+    // Memory and slots in use by customer.
+    std::map<std::string, std::pair<double, double>, std::less<>> usage;
     Forecast sums;
-    double unexplained = 0;      // memory in use that no commitment accounts for
-    double tokensPerSecond = 30; // of one sequence
+    double unexplained = 0;      // reported memory in use that no commitment accounts for
+    double tokensPerSecond = 30; // decoding speed of one sequence
     TimePoint sumsAt;
 };
 
--- a/include/jaytrack/Policy/fleetpolicy.h
+++ b/include/jaytrack/Policy/fleetpolicy.h
@@ -1,6 +1,6 @@
-// The placement policy of production: each engine has one home among the instances, found by
-// rendezvous hashing, which alone hands out its room. Every instance chooses engines by what their
-// homes said last, and asks the home before it sends.
+// The placement policy used in production. Each engine has one home instance, found by rendezvous
+// hashing, and only the home grants room on it. Every instance chooses engines by the last
+// summaries of their homes and requests room from the home before it sends a generation.
 #ifndef JAYTRACK_POLICY_FLEETPOLICY_H
 #define JAYTRACK_POLICY_FLEETPOLICY_H
 
@@ -23,29 +23,30 @@
 class PolicyMessage;
 } // namespace wire
 
-// What can be varied for measurements.
+// Options that measurements vary.
 struct FleetPolicyOptions
 {
     EngineHomeOptions home;
-    bool askHomes = true;       // else each instance decides by itself on what it has heard
-    bool affinity = true;       // prefer the engine that likely caches the prompt's prefix
-    std::size_t subset = 24;    // engines of a model that one instance uses at the most
+    bool askHomes = true; // otherwise each instance decides alone by the summaries it has received
+    bool affinity = true; // prefer the engine that probably caches the prompt's prefix
+    std::size_t subset = 24;    // maximum number of engines of a model that one instance uses
     std::size_t candidates = 4; // random engines compared for each request
-    std::size_t queues = 3;     // engines that a waiting request queues at
-    Duration answerWait = std::chrono::milliseconds(60);  // for a home's answer
-    Duration reconsider = std::chrono::milliseconds(200); // while waiting for one engine
-    Duration summaryGap = std::chrono::milliseconds(100);
-    double summaryBytesPerSecond = 2000; // spent on summaries at the most
-    double releaseBytesPerSecond = 3000; // spent on the datagrams of what can be put off
+    std::size_t queues = 3;     // maximum number of engines at which a request queues
+    Duration answerTimeout = std::chrono::milliseconds(60); // for the answer of a home
+    // Interval at which a waiting request looks for another engine.
+    Duration reconsiderInterval = std::chrono::milliseconds(200);
+    Duration summaryInterval = std::chrono::milliseconds(100);
+    double summaryBytesPerSecond = 2000; // maximum rate of summaries
+    double releaseBytesPerSecond = 3000; // maximum rate of datagrams with deferrable messages
 };
 
-// How often what happened.
+// Event counters.
 struct FleetPolicyCounts
 {
     std::uint64_t asked = 0;
     std::uint64_t granted = 0;
-    std::uint64_t fallbacks = 0;   // placed without a home's answer
-    std::uint64_t queuedTwice = 0; // further queues that waiting requests joined
+    std::uint64_t fallbacks = 0;        // placed without an answer of the home
+    std::uint64_t additionalQueues = 0; // additional queues that waiting requests joined
     std::uint64_t expired = 0;
     std::uint64_t sentMessages = 0;
     std::uint64_t sentBytes = 0;
@@ -54,9 +55,9 @@
 class FleetPolicy final : public PlacementPolicy
 {
 public:
-    FleetPolicy(std::string selfName, const Clock &time, std::uint64_t seed,
-                PolicyTransport &messages, PlacementListener &target,
-                const FleetPolicyOptions &chosen = {});
+    FleetPolicy(std::string selfName, const Clock &clockSource, std::uint64_t seed,
+                PolicyTransport &messages, PlacementListener &placementListener,
+                const FleetPolicyOptions &policyOptions = {});
     ~FleetPolicy() override;
 
     void setEngines(std::span<const EngineSpec> engines) override;
@@ -69,72 +70,74 @@
     void receive(std::string_view from, std::string_view message) override;
     void tick() override;
 
-    // Whether this instance is the home of an engine, and so is to ask it for load reports.
+    // Whether this instance is the home of an engine and therefore polls its load reports.
     bool isHomeOf(std::string_view engine) const;
 
     const FleetPolicyCounts &counts() const { return this->tally; }
 
 private:
-    // An engine as this instance knows it.
+    // The state of an engine as this instance knows it.
     struct EngineView
     {
         EngineSpec spec;
         std::string homeName;
-        std::unique_ptr<EngineHome> home; // if this instance is its home
-        std::uint64_t nameHash = 0;       // for ranking prefixes
+        std::unique_ptr<EngineHome> home; // set if this instance is its home
+        std::uint64_t nameHash = 0;       // used to rank engines for a prefix
         bool alive = true;
         bool leaving = false;
-        double room = 1; // share of memory free, as its home said last
+        double room = 1; // free share of memory in the home's last summary
         int queued = 0;
-        double askedSince = 0;     // share of memory asked for since then
-        std::uint32_t own = 0;     // generations of this instance on it
-        double stepSeconds = 0;    // between tokens, seen by this instance
-        TimePoint distrustedUntil; // it lost a generation of ours
+        double requestedSince = 0; // share of memory requested since that summary
+        std::uint32_t own = 0;     // generations that this instance has placed on it
+        double stepSeconds = 0;    // time between tokens as measured by this instance
+        // No new generations until then, because it lost or refused a generation of this instance.
+        TimePoint avoidedUntil;
     };
 
-    enum class AskPhase { Asking, Queued, Placed };
+    enum class RequestPhase { Requesting, Queued, Placed };
 
-    struct AskState
+    struct RequestState
     {
         GenerationAsk ask;
-        AskPhase phase = AskPhase::Asking;
-        std::string engine;                // asked last, or placed on
-        std::vector<std::string> queuedAt; // engines whose homes hold it in their queues
+        RequestPhase phase = RequestPhase::Requesting;
+        // Engine that room was last requested on, or that the generation is placed on.
+        std::string engine;
+        std::vector<std::string> queuedAt; // engines in whose queues the request waits
         TimePoint submittedAt;
         TimePoint stepAt; // when it entered its phase or last changed its engine
         int attempts = 0;
-        std::vector<std::string> silent; // engines whose homes gave no answer
+        std::vector<std::string> unresponsive; // engines whose homes did not answer in time
         std::uint32_t produced = 0;
         TimePoint producedAt;
-        std::uint32_t toldHome = 0; // tokens, when its home was last told
+        std::uint32_t reportedTokens = 0; // tokens last reported to the home
     };
 
     using Views = std::map<std::string, EngineView, std::less<>>;
     using ViewList = std::vector<EngineView *>;
-    using Asks = std::unordered_map<std::uint64_t, AskState>;
+    using Requests = std::unordered_map<std::uint64_t, RequestState>;
 
-    bool usable(const EngineView &view, const AskState &state) const;
-    double score(const EngineView &view, const AskState &state, double medianStep) const;
-    EngineView *choose(const AskState &state);
-    EngineView *affinityChoice(const AskState &state, std::span<EngineView *const> usableViews);
+    bool isUsable(const EngineView &view, const RequestState &state) const;
+    double score(const EngineView &view, const RequestState &state, double medianStep) const;
+    EngineView *choose(const RequestState &state);
+    EngineView *affinityChoice(const RequestState &state, std::span<EngineView *const> usableViews);
     double medianStep(const ViewList &views) const;
-    void askFor(AskState &state);
-    void askEngine(AskState &state, EngineView &view);
-    void place(AskState &state, EngineView &view, std::string reason);
+    void requestRoom(RequestState &state);
+    void requestRoomOn(RequestState &state, EngineView &view);
+    void place(RequestState &state, EngineView &view, std::string reason);
     void refuse(std::uint64_t id, ResultCode code, std::string reason);
-    void fallBack(AskState &state);
-    void checkAsk(AskState &state);
-
-    RoomRequest roomRequest(const AskState &state) const;
-    wire::GrantBody grantBody(const AskState &state, const std::string &engine, int kind) const;
-    void queueElsewhere(AskState &state);
-    void onRefused(AskState &state, const std::string &engine);
-    void post(const std::string &instance, const wire::GrantBody &body);
+    void fallBack(RequestState &state);
+    void checkRequest(RequestState &state);
+
+    RoomRequest roomRequest(const RequestState &state) const;
+    wire::GrantBody grantBody(const RequestState &state, const std::string &engine, int kind) const;
+    void joinAnotherQueue(RequestState &state);
+    void onRefused(RequestState &state, const std::string &engine);
+    void sendOrDefer(const std::string &instance, const wire::GrantBody &body);
     void sendMessage(const std::string &instance, const wire::PolicyMessage &message);
     void flush();
-    void tellHome(const AskState &state, int kind);
-    void tellHomeOf(const std::string &engine, const AskState &state, int kind);
-    void withdrawElsewhere(AskState &state, std::string_view keep);
+    void notifyHome(const RequestState &state, int kind);
+    void notifyHomeOf(const std::string &engine, const RequestState &state, int kind);
+    void withdrawElsewhere(RequestState &state, std::string_view keep);
     void onGrantBody(std::string_view from, const wire::GrantBody &body);
     void onAnswer(std::string_view from, const wire::GrantBody &body);
     void onSummary(const wire::EngineSummary &summary);
@@ -144,7 +147,7 @@
     void sendSummaries();
     void assignHomes();
     void assignSubsets();
-    void moveCommitments(const EngineView &view);
+    void reportCommitments(const EngineView &view);
 
     std::string self;
     const Clock &clock;
@@ -154,11 +157,14 @@
     FleetPolicyOptions options;
     LengthEstimator lengths;
     Views engines;
-    std::map<std::string, ViewList, std::less<>> used; // by model, within the subset
+    // Engines of this instance's subset, by model.
+    std::map<std::string, ViewList, std::less<>> used;
     std::vector<std::string> instances;
-    Asks asks;
-    std::map<std::string, TimePoint, std::less<>> subscribers;          // who asked here lately
-    std::unique_ptr<std::map<std::string, wire::PolicyMessage>> putOff; // by receiver
+    Requests requests;
+    // When each instance last sent a message to a home here.
+    std::map<std::string, TimePoint, std::less<>> subscribers;
+    // Messages not yet sent, by receiver.
+    std::unique_ptr<std::map<std::string, wire::PolicyMessage>> deferred;
     TimePoint nextSummaryAt;
     TimePoint nextFlushAt;
     FleetPolicyCounts tally;
--- a/include/jaytrack/Policy/lengthestimator.h
+++ b/include/jaytrack/Policy/lengthestimator.h
@@ -1,5 +1,5 @@
-// How long generations get, learnt from those that ended: the chance that one of a given age goes
-// on for so many tokens more.
+// Estimates how long generations become from the lengths of finished ones: the probability that a
+// generation of a given age produces at least a given number of further tokens.
 #ifndef JAYTRACK_POLICY_LENGTHESTIMATOR_H
 #define JAYTRACK_POLICY_LENGTHESTIMATOR_H
 
@@ -11,7 +11,7 @@
 
 namespace jaytrack {
 
-// A histogram of lengths over buckets that widen by half an octave, in which old observations fade.
+// A histogram of lengths with two buckets per octave. The weight of old observations decays.
 class LengthHistogram
 {
 public:
@@ -19,7 +19,7 @@
 
     void add(double length, double weight = 1.0);
 
-    // The weight of all lengths above the given one, interpolated within a bucket.
+    // Returns the weight of all lengths above the given one, interpolated within a bucket.
     double above(double length) const;
 
     double total() const { return this->sum; }
@@ -29,22 +29,22 @@
     double sum = 0;
 };
 
-// The lengths of each model's generations, and of each customer's where that one has enough of its
-// own. Memory is bounded; without any observation a wide prior stands in. Not safe for several
-// threads at once.
+// Keeps the length distribution of each model, and of each customer of a model with enough
+// observations. Memory is bounded. Without observations a wide prior is used. Not thread-safe.
 class LengthEstimator
 {
 public:
     LengthEstimator();
 
-    // A generation ended by itself after so many tokens.
+    // Records that a generation finished by itself after `length` tokens.
     void learn(std::string_view model, std::string_view customer, std::uint32_t length);
 
-    // A view of one kind of generation, valid until the next call of learn().
+    // The length distribution of one model and customer. Valid until the next call of learn().
     class Kind
     {
     public:
-        // The chance that a generation of this age produces more than this many tokens more.
+        // Returns the probability that a generation of this age produces more than `more`
+        // further tokens.
         double survives(double age, double more) const;
 
     private:
@@ -61,7 +61,7 @@
     Kind kindOf(std::string_view model, std::string_view customer) const;
 
 private:
-    static constexpr std::size_t mostKinds = 8192;
+    static constexpr std::size_t maxKinds = 8192;
 
     using Histograms = std::unordered_map<std::string, LengthHistogram>;
 
@@ -69,7 +69,7 @@
 
     LengthHistogram prior;
     Histograms models;
-    Histograms customers; // by model and customer
+    Histograms customers; // keyed by model and customer
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Policy/placement.h
+++ b/include/jaytrack/Policy/placement.h
@@ -1,5 +1,5 @@
-// The interface of every way to place generations on engines: the one that production uses and the
-// baselines that it is measured against.
+// The interface of all placement policies: the production policy and the baselines it is compared
+// with.
 #ifndef JAYTRACK_POLICY_PLACEMENT_H
 #define JAYTRACK_POLICY_PLACEMENT_H
 
@@ -14,7 +14,7 @@
 
 namespace jaytrack {
 
-// What placement knows of an engine from the configuration in force.
+// The properties of an engine in the configuration in force.
 struct EngineSpec
 {
     std::string name;
@@ -25,7 +25,8 @@
     bool leaving = false;
 };
 
-// What an engine says of itself, some time after it was so.
+// A load report of an engine. It describes the engine at `takenAt`, some time before it is
+// received.
 struct EngineReport
 {
     std::uint64_t memoryUsed = 0; // tokens
@@ -36,7 +37,7 @@
     TimePoint takenAt;
 };
 
-// One generation that wants an engine.
+// A request to place one generation on an engine.
 struct GenerationAsk
 {
     std::uint64_t id = 0;
@@ -45,17 +46,18 @@
     std::uint32_t weight = 1;
     int priority = 0;
     std::uint32_t promptTokens = 0;
-    std::uint32_t maxTokens = 0;  // the caller's own bound; 0 if it gave none
+    std::uint32_t maxTokens = 0;  // limit set by the caller; 0 if there is none
     std::uint64_t prefixHash = 0; // 0 if the prompt shares no known prefix
     std::uint32_t prefixTokens = 0;
     bool mayWait = true;
     Duration maxWait = std::chrono::seconds(30);
     double overflowBound = 0.02;
-    std::uint32_t trueLength = 0;   // only the oracle of the measurements may read this
-    std::vector<std::string> avoid; // engines that failed this request before
+    std::uint32_t trueLength = 0;   // for the oracle in measurements only
+    std::vector<std::string> avoid; // engines that already failed this request
 };
 
-// Where a generation goes, or why it goes nowhere, with the reason in words for operators.
+// The placement decision: the engine, or the result code of the refusal, with a reason for
+// operators.
 struct Placement
 {
     ResultCode code = ResultCode::Ok;
@@ -67,7 +69,7 @@
 // How a generation left its engine.
 enum class Departure { Finished, Lost, Refused, Cancelled };
 
-// Receives decisions. Called from within the functions of the policy.
+// Receives placement decisions. The policy calls it from within its own functions.
 class PlacementListener
 {
 public:
@@ -75,43 +77,42 @@
     virtual void onPlacement(std::uint64_t id, const Placement &placement) = 0;
 };
 
-// A way to place generations, as one instance runs it. Pure decision code: it performs no input or
-// output, takes its time from a clock and its messages through an interface. Not safe for several
-// threads at once.
+// A placement policy as run by one instance. It performs no input or output: it takes the time from
+// a clock and exchanges messages through an interface. Not thread-safe.
 class PlacementPolicy
 {
 public:
     virtual ~PlacementPolicy() = default;
 
-    // Replaces the engines known, when another configuration comes into force.
+    // Replaces the known engines when another configuration comes into force.
     virtual void setEngines(std::span<const EngineSpec> engines) = 0;
 
-    // Replaces the live instances known, this one among them.
+    // Replaces the list of live instances, which includes this one.
     virtual void setInstances(std::span<const std::string> names) = 0;
 
-    // Asks for an engine. The listener hears exactly once, during this call or later.
+    // Requests an engine. The listener is called exactly once, during this call or later.
     virtual void submit(const GenerationAsk &ask) = 0;
 
-    // Withdraws an ask that was not yet placed; the listener hears no more of it.
+    // Cancels a request that is not yet placed. The listener is not called for it afterwards.
     virtual void withdraw(std::uint64_t id) = 0;
 
-    // Tells how many tokens a placed generation has produced so far.
+    // Reports how many tokens a placed generation has produced so far.
     virtual void progress(std::uint64_t id, std::uint32_t producedTokens) = 0;
 
-    // Tells that a placed generation no longer occupies its engine.
+    // Reports that a placed generation no longer occupies its engine.
     virtual void departed(std::uint64_t id, Departure how, std::uint32_t producedTokens) = 0;
 
-    // Takes a load report of an engine.
+    // Handles a load report of an engine.
     virtual void report(std::string_view engine, const EngineReport &report) = 0;
 
-    // Takes a message of another instance's policy.
+    // Handles a message from the policy of another instance.
     virtual void receive(std::string_view from, std::string_view message) = 0;
 
-    // Does what is due by now; called every few milliseconds to tens of milliseconds.
+    // Performs the work that is due. Called every few milliseconds to tens of milliseconds.
     virtual void tick() = 0;
 };
 
-// Carries messages between the policies of several instances. They may be lost, late or doubled.
+// Carries messages between the policies of instances. Messages may be lost, delayed or duplicated.
 class PolicyTransport
 {
 public:
--- a/include/jaytrack/Policy/targethealth.h
+++ b/include/jaytrack/Policy/targethealth.h
@@ -1,6 +1,5 @@
-// What an instance thinks of each target from its own dealings: how many requests it has there,
-// how fast it answers, whether it is to be left alone for a while, and how much repeating is
-// allowed.
+// Tracks the health of each target from the requests of this instance: outstanding requests,
+// latency, ejection after failures or slow answers, and the retry budget.
 #ifndef JAYTRACK_POLICY_TARGETHEALTH_H
 #define JAYTRACK_POLICY_TARGETHEALTH_H
 
@@ -16,41 +15,44 @@
 
 namespace jaytrack {
 
-// Bounds of the judgement.
+// Thresholds for ejection, retries and concurrency limits.
 struct TargetHealthBounds
 {
-    int failuresToEject = 3;                     // in a row
-    Duration ejectFor = std::chrono::seconds(5); // doubles with each ejection in a row
-    Duration longestEjection = std::chrono::seconds(60);
-    double slowFactor = 4.0; // slower than the median of its peers by this much is slow
-    double retryShare = 0.1; // repeats allowed for each first attempt
-    double retryBurst = 10;  // repeats allowed out of nothing
-    double firstLimit = 16;  // concurrent requests to a target at first
-    double mostLimit = 1024;
+    int failuresToEject = 3;                          // consecutive failures
+    Duration firstEjection = std::chrono::seconds(5); // doubles with each consecutive ejection
+    Duration maxEjection = std::chrono::seconds(60);
+    // A target is slow if its latency exceeds the median of its peers by this factor.
+    double slowFactor = 4.0;
+    double retryShare = 0.1;  // retries earned by each first attempt
+    double retryBurst = 10;   // initial and maximum number of retries in the budget
+    double initialLimit = 16; // initial limit of concurrent requests to a target
+    double maxLimit = 1024;
 };
 
-// Decides among the targets of plain services. Not safe for several threads at once.
+// Chooses among the targets of plain services. Not thread-safe.
 class TargetHealth
 {
 public:
-    TargetHealth(const Clock &time, std::uint64_t seed, TargetHealthBounds limits = {});
+    TargetHealth(const Clock &clockSource, std::uint64_t seed, TargetHealthBounds limits = {});
 
-    // The better of two random usable targets, as an index into names; -1 if none may be used.
-    // A target that is ejected or at its limit is not usable, unless all are ejected.
+    // Returns the index in `names` of the less loaded of two random usable targets, or -1 if
+    // none is usable. A target that is ejected or at its limit is not usable, unless all
+    // targets are ejected.
     int choose(std::span<const std::string_view> names);
 
-    // A request to the target began. Targets of one group do the same work, so that their speeds
-    // can be compared.
+    // Records the start of a request to the target. Targets of one group do the same work, so
+    // that their latencies can be compared.
     void began(std::string_view target, std::string_view group);
 
-    // A request to the target ended. Failure means that it did not answer, whatever it answered.
+    // Records the end of a request to the target. `failed` means that the target did not
+    // answer; any answer counts as success.
     void ended(std::string_view target, bool failed, Duration took);
 
-    // The target is gone. What was learnt of it is dropped with the last request to it, or targets
-    // that are long gone would stand in the median of their peers.
+    // Removes a target that has left. Its state is dropped when its last request ends;
+    // otherwise targets that left long ago would still count in the median of their peers.
     void forget(std::string_view target);
 
-    // Takes one repeat from the budget, if there is one left.
+    // Takes one retry from the budget. Returns false if the budget is empty.
     bool takeRetry();
 
     bool isEjected(std::string_view target) const;
@@ -65,15 +67,15 @@
         int ejectionsInRow = 0;
         TimePoint ejectedUntil;
         TimePoint returnedAt;   // start of the slow start after an ejection
-        double latency = 0;     // smoothed, seconds; 0 before the first answer
-        double bestLatency = 0; // slowly forgotten minimum
+        double latency = 0;     // smoothed, in seconds; 0 before the first answer
+        double bestLatency = 0; // minimum latency, which rises slowly over time
         double limit = 0;
         bool gone = false;
     };
 
     State &stateOf(std::string_view target);
     double effectiveLimit(const State &state) const;
-    bool usable(const State &state) const;
+    bool isUsable(const State &state) const;
     void adapt(State &state, double seconds, bool failed);
     void eject(State &state);
     void ejectIfSlow(State &state);
--- a/include/jaytrack/Policy/targetpauses.h
+++ b/include/jaytrack/Policy/targetpauses.h
@@ -1,7 +1,8 @@
-// Targets that turned a request of this instance away and said for how long they want none.
+// Records the targets that refused a request of this instance and for how long they want no further
+// requests.
 //
-// Load that it answers: a target that is crowded spends a part of its time on refusals, and each
-// instance that asks again at once adds to it. The target knows best when it is worth to come back.
+// An overloaded target spends part of its time on refusals, and each instance that retries at once
+// adds to that load. The target itself knows best when retrying is useful.
 #ifndef JAYTRACK_POLICY_TARGETPAUSES_H
 #define JAYTRACK_POLICY_TARGETPAUSES_H
 
@@ -16,16 +17,17 @@
 class TargetPauses
 {
 public:
-    explicit TargetPauses(const Clock &time)
-        : clock(time)
+    explicit TargetPauses(const Clock &clockSource)
+        : clock(clockSource)
     {
     }
 
-    // The id names the target's life: the next one has said nothing. A shorter wish never ends a
-    // longer one, since answers may overtake each other.
+    // Pauses requests to a target for the given time. The name identifies one life of the
+    // target; after a restart no pause applies. A shorter pause never ends a longer one, since
+    // answers may arrive out of order.
     void leaveAlone(std::string_view target, Duration time);
 
-    // How long the target still wants to be left alone; zero if it does not.
+    // Returns the remaining time of the pause; zero if the target is not paused.
     Duration left(std::string_view target) const;
 
     bool isPaused(std::string_view target) const { return this->left(target) > Duration(0); }
--- a/lib/Policy/baselines.cpp
+++ b/lib/Policy/baselines.cpp
@@ -15,15 +15,15 @@
 constexpr double staticThresholdShare = 0.8; // of an engine's memory
 constexpr double staticReserveTokens = 1000; // assumed length of a generation
 
-// What the simple policies keep of an engine.
+// The state that the baselines keep of an engine.
 struct EngineState
 {
     EngineSpec spec;
     EngineReport report;
-    std::uint32_t own = 0; // placed by this instance and not yet departed
+    std::uint32_t own = 0; // placed by this instance and still running
     std::uint64_t ownTokens = 0;
 
-    bool usable() const
+    bool isUsable() const
     {
         return !this->spec.leaving && !this->report.leaving && this->report.alive;
     }
@@ -36,13 +36,14 @@
     std::uint32_t produced = 0;
 };
 
-// What all baselines share: the tables, the bookkeeping and the queue of those that wait.
+// The parts common to all baselines: the tables of engines and placed generations, and the queue of
+// waiting requests.
 class SimplePolicy : public PlacementPolicy
 {
 public:
-    SimplePolicy(const Clock &time, PlacementListener &target)
-        : clock(time)
-        , listener(target)
+    SimplePolicy(const Clock &clockSource, PlacementListener &placementListener)
+        : clock(clockSource)
+        , listener(placementListener)
     {
     }
 
@@ -111,9 +112,9 @@
             } else if (now - it->since > it->ask.maxWait) {
                 const std::uint64_t id = it->ask.id;
                 it = this->waiting.erase(it);
-                this->listener.onPlacement(id,
-                                           {ResultCode::WaitExpired, "",
-                                            "no engine had room in time", std::chrono::seconds(1)});
+                this->listener.onPlacement(id, {ResultCode::WaitExpired, "",
+                                                "no engine had room within the maximum wait",
+                                                std::chrono::seconds(1)});
             } else {
                 ++it;
             }
@@ -121,7 +122,7 @@
     }
 
 protected:
-    // The engine to use now; null to wait.
+    // Returns the engine to use now, or null if the request must wait.
     virtual EngineState *choose(const GenerationAsk &ask, std::span<EngineState *const> usable) = 0;
 
     const Clock &clock;
@@ -139,7 +140,7 @@
         for (auto &[name, engine] : this->engines) {
             const bool avoided =
                     std::find(ask.avoid.begin(), ask.avoid.end(), name) != ask.avoid.end();
-            if (engine.spec.model == ask.model && engine.usable() && !avoided)
+            if (engine.spec.model == ask.model && engine.isUsable() && !avoided)
                 usable.push_back(&engine);
         }
         EngineState *chosen = usable.empty() ? nullptr : this->choose(ask, usable);
@@ -176,8 +177,9 @@
 class LeastOutstandingPolicy final : public SimplePolicy
 {
 public:
-    LeastOutstandingPolicy(const Clock &time, PlacementListener &target, std::uint64_t seed)
-        : SimplePolicy(time, target)
+    LeastOutstandingPolicy(const Clock &clockSource, PlacementListener &placementListener,
+                           std::uint64_t seed)
+        : SimplePolicy(clockSource, placementListener)
         , random(seed)
     {
     }
@@ -185,7 +187,8 @@
 protected:
     EngineState *choose(const GenerationAsk &, std::span<EngineState *const> usable) override
     {
-        // Ties are broken at random, or every instance would fill the engines in the same order.
+        // Ties are broken at random; otherwise every instance would fill the engines in the
+        // same order.
         const std::size_t start = this->random() % usable.size();
         EngineState *best = usable[start];
         for (std::size_t i = 1; i < usable.size(); ++i) {
@@ -203,8 +206,9 @@
 class PowerOfTwoPolicy final : public SimplePolicy
 {
 public:
-    PowerOfTwoPolicy(const Clock &time, PlacementListener &target, std::uint64_t seed)
-        : SimplePolicy(time, target)
+    PowerOfTwoPolicy(const Clock &clockSource, PlacementListener &placementListener,
+                     std::uint64_t seed)
+        : SimplePolicy(clockSource, placementListener)
         , random(seed)
     {
     }
@@ -231,8 +235,9 @@
 class StaticThresholdPolicy final : public SimplePolicy
 {
 public:
-    StaticThresholdPolicy(const Clock &time, PlacementListener &target, std::uint64_t seed)
-        : SimplePolicy(time, target)
+    StaticThresholdPolicy(const Clock &clockSource, PlacementListener &placementListener,
+                          std::uint64_t seed)
+        : SimplePolicy(clockSource, placementListener)
         , random(seed)
     {
     }
@@ -262,20 +267,21 @@
 
 } // namespace
 
-// Exact remaining demand of every generation in the fleet.
+// The exact remaining length of every generation in the fleet.
 class OracleBoard
 {
 public:
     struct Job
     {
         std::uint64_t id;
-        std::uint32_t size; // prompt and produced tokens
+        std::uint32_t size; // prompt tokens plus produced tokens
         std::uint32_t remaining;
     };
 
     std::map<std::string, std::vector<Job>, std::less<>> jobs;
 
-    // The largest memory that the jobs will occupy together, all decoding at the same pace.
+    // Returns the maximum memory that the jobs will occupy together, assuming that all decode
+    // at the same pace.
     static std::uint64_t peak(std::vector<Job> list)
     {
         std::sort(list.begin(), list.end(),
@@ -307,18 +313,19 @@
 class OraclePolicy final : public SimplePolicy
 {
 public:
-    OraclePolicy(const Clock &time, PlacementListener &target, std::shared_ptr<OracleBoard> shared)
-        : SimplePolicy(time, target)
+    OraclePolicy(const Clock &clockSource, PlacementListener &placementListener,
+                 std::shared_ptr<OracleBoard> shared)
+        : SimplePolicy(clockSource, placementListener)
         , board(std::move(shared))
     {
-        assert(this->board && "the oracle needs the board of its fleet");
+        assert(this->board && "the oracle requires the board of its fleet");
     }
 
     void progress(std::uint64_t id, std::uint32_t producedTokens) override
     {
         SimplePolicy::progress(id, producedTokens);
-        const auto at = this->where.find(id);
-        if (at == this->where.end())
+        const auto at = this->locations.find(id);
+        if (at == this->locations.end())
             return;
         for (OracleBoard::Job &job : this->board->jobs[at->second.engine]) {
             if (job.id != id)
@@ -332,12 +339,12 @@
     void departed(std::uint64_t id, Departure how, std::uint32_t producedTokens) override
     {
         SimplePolicy::departed(id, how, producedTokens);
-        const auto at = this->where.find(id);
-        if (at == this->where.end())
+        const auto at = this->locations.find(id);
+        if (at == this->locations.end())
             return;
         std::erase_if(this->board->jobs[at->second.engine],
                       [id](const OracleBoard::Job &job) { return job.id == id; });
-        this->where.erase(at);
+        this->locations.erase(at);
     }
 
 protected:
@@ -363,12 +370,12 @@
         if (best == nullptr)
             return nullptr;
         this->board->jobs[best->spec.name].push_back(job);
-        this->where[ask.id] = {best->spec.name, ask.promptTokens, ask.trueLength};
+        this->locations[ask.id] = {best->spec.name, ask.promptTokens, ask.trueLength};
         return best;
     }
 
 private:
-    struct Spot
+    struct Location
     {
         std::string engine;
         std::uint32_t promptTokens = 0;
@@ -376,7 +383,7 @@
     };
 
     std::shared_ptr<OracleBoard> board;
-    std::unordered_map<std::uint64_t, Spot> where;
+    std::unordered_map<std::uint64_t, Location> locations;
 };
 
 } // namespace
--- a/lib/Policy/burnmeter.cpp
+++ b/lib/Policy/burnmeter.cpp
@@ -13,7 +13,7 @@
            allowed;
 }
 
-std::int64_t BurnMeter::bucketNow() const
+std::int64_t BurnMeter::currentBucket() const
 {
     return this->clock.now().time_since_epoch() / bucketLength;
 }
@@ -23,13 +23,13 @@
     const Key key{sample.customer, sample.subject, objective};
     auto found = this->series.find(key);
     if (found == this->series.end()) {
-        if (this->series.size() >= mostSeries)
+        if (this->series.size() >= maxSeries)
             return;
         found = this->series.emplace(key, Series{}).first;
     }
     Series &line = found->second;
     line.share = sample.level.share;
-    const std::int64_t now = this->bucketNow();
+    const std::int64_t now = this->currentBucket();
     const auto slot = static_cast<std::size_t>(now) % buckets;
     if (line.ring.size() <= slot)
         line.ring.resize(slot + 1);
@@ -54,7 +54,7 @@
 std::vector<BurnRow> BurnMeter::rows() const
 {
     std::vector<BurnRow> rows;
-    const std::int64_t now = this->bucketNow();
+    const std::int64_t now = this->currentBucket();
     for (const auto &[key, line] : this->series) {
         BurnRow row;
         std::tie(row.customer, row.subject, row.objective) = key;
--- a/lib/Policy/enginehome.cpp
+++ b/lib/Policy/enginehome.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-// Tokens ahead at which the memory is foreseen; all sequences of a batch advance together.
+// Forecast horizons in tokens. All sequences of a batch advance together.
 constexpr std::array<double, 12> horizonTokens = {0,   16,   32,   64,   128,  256,
                                                   512, 1024, 2048, 4096, 8192, 16384};
-constexpr Duration refreshGap = std::chrono::milliseconds(50);
+constexpr Duration refreshInterval = std::chrono::milliseconds(50);
 constexpr double smoothing = 0.1;
 constexpr double staticReserve = 1000;
 constexpr double staticShare = 0.8;
-constexpr double harmlessShare = 0.002; // of memory
-constexpr double urgentShare = 0.02; // the same for requests of some priority, which may not wait
-constexpr double agedShare = 0.5;    // of its time to wait, after which a request goes first
+constexpr double negligibleShare = 0.002; // share of memory
+// The same for requests with a priority above 0, which may not wait.
+constexpr double urgentShare = 0.02;
+constexpr double agedShare = 0.5; // share of its maximum wait after which a request is served first
 
-// The number of standard deviations that a normal variable exceeds with this chance (Abramowitz
-// and Stegun 26.2.23; absolute error below 4.5e-4).
+// Returns the number of standard deviations that a normal variable exceeds with this probability
+// (Abramowitz and Stegun 26.2.23; absolute error below 4.5e-4).
 double deviationsFor(double chance)
 {
     const double t = std::sqrt(-2 * std::log(std::clamp(chance, 1e-6, 0.5)));
@@ -30,12 +31,12 @@
 
 } // namespace
 
-EngineHome::EngineHome(EngineSpec engineSpec, const Clock &time, LengthEstimator &estimator,
-                       EngineHomeOptions chosen)
+EngineHome::EngineHome(EngineSpec engineSpec, const Clock &clockSource, LengthEstimator &estimator,
+                       EngineHomeOptions homeOptions)
     : spec(std::move(engineSpec))
-    , clock(time)
+    , clock(clockSource)
     , lengths(estimator)
-    , options(chosen)
+    , options(homeOptions)
 {
 }
 
@@ -44,8 +45,8 @@
     return this->isAlive() && !this->isLeaving();
 }
 
-// The report tells of a moment in the past. What this home has granted since then counts on top,
-// so only what the report shows beyond the commitments of that moment is taken from it.
+// The report describes a moment in the past. Commitments granted since then are counted in
+// addition, so only the memory beyond the commitments of that moment is taken from the report.
 void EngineHome::report(const EngineReport &latest)
 {
     this->lastReport = latest;
@@ -61,7 +62,7 @@
 double EngineHome::producedNow(const Commitment &commitment) const
 {
     const double since =
-            std::chrono::duration<double>(this->clock.now() - commitment.toldAt).count();
+            std::chrono::duration<double>(this->clock.now() - commitment.reportedAt).count();
     return commitment.produced + std::max(0.0, since) * this->tokensPerSecond;
 }
 
@@ -91,7 +92,7 @@
 void EngineHome::refresh()
 {
     const TimePoint now = this->clock.now();
-    if (now - this->sumsAt < refreshGap)
+    if (now - this->sumsAt < refreshInterval)
         return;
     this->sums = Forecast{};
     for (auto &[key, commitment] : this->commitments) {
@@ -110,13 +111,14 @@
            staticShare * static_cast<double>(this->spec.memoryTokens);
 }
 
-// Whether the chance that memory overflows at any moment foreseen stays within the operators'
-// bound if this request is let in.
+// Returns whether the probability that memory overflows at any horizon stays within the operators'
+// bound if this request is admitted.
 bool EngineHome::fits(const RoomRequest &request)
 {
     if (this->commitments.size() >= std::max<std::size_t>(1, this->spec.slots))
         return false;
-    // Alone it must be let in, however large; holding it back would not make it smaller.
+    // A request alone on the engine is admitted, however large; waiting would not make it
+    // smaller.
     if (this->commitments.empty() && this->unexplained < 1)
         return true;
     if (!this->options.forecast)
@@ -128,11 +130,11 @@
     for (std::size_t i = 0; i < horizons; ++i) {
         const double mean = this->sums.mean[i] + own.mean[i];
         const double variance = std::max(0.0, this->sums.variance[i]) + own.variance[i];
-        // A short request that is gone before the moment foreseen does not add to its risk, and
-        // holding it back would not lessen that.
-        const double share = request.priority > 0 ? urgentShare : harmlessShare;
-        const bool harmless = i > 0 && own.mean[i] < share * capacity;
-        if (mean + deviations * std::sqrt(variance) > capacity && !harmless)
+        // A short request that ends before this horizon hardly adds to its risk, and
+        // holding it back would not reduce the risk.
+        const double share = request.priority > 0 ? urgentShare : negligibleShare;
+        const bool negligible = i > 0 && own.mean[i] < share * capacity;
+        if (mean + deviations * std::sqrt(variance) > capacity && !negligible)
             return false;
     }
     return true;
@@ -152,9 +154,9 @@
     return static_cast<int>(1000 * std::min(slotRoom, 1.0 - worst / capacity));
 }
 
-void EngineHome::ask(const RoomRequest &request)
+void EngineHome::enqueue(const RoomRequest &request)
 {
-    // The message may have been doubled, or its answer lost and the request sent again.
+    // The message may be a duplicate, or a retransmission after its answer was lost.
     if (this->commitments.count(request.key) == 0 && !this->isWaiting(request.key))
         this->waiting.push_back(request);
 }
@@ -177,7 +179,7 @@
     commitment.request = request;
     commitment.produced = request.producedTokens;
     commitment.grantedAt = this->clock.now();
-    commitment.toldAt = commitment.grantedAt;
+    commitment.reportedAt = commitment.grantedAt;
     auto &[memory, slots] = this->usage[request.customer];
     memory += request.promptTokens;
     slots += 1;
@@ -193,14 +195,14 @@
         return;
     Commitment &commitment = found->second;
     const TimePoint now = this->clock.now();
-    const double seconds = std::chrono::duration<double>(now - commitment.toldAt).count();
+    const double seconds = std::chrono::duration<double>(now - commitment.reportedAt).count();
     if (producedTokens > commitment.produced && seconds > 0) {
         const double rate = (producedTokens - commitment.produced) / seconds;
         this->tokensPerSecond += smoothing * (rate - this->tokensPerSecond);
         this->usage[commitment.request.customer].first += producedTokens - commitment.produced;
     }
     commitment.produced = std::max(commitment.produced, producedTokens);
-    commitment.toldAt = now;
+    commitment.reportedAt = now;
 }
 
 void EngineHome::withdraw(const GrantKey &key)
@@ -240,9 +242,9 @@
         this->departed(key, Departure::Lost, 0);
 }
 
-// The larger of the customer's shares of memory and of slots on this engine, by weight (dominant
-// resource fairness: Ghodsi and others, 2011). Each engine is shared fairly by itself, which needs
-// no sum over instances or engines.
+// Returns the larger of the customer's shares of memory and of slots on this engine, divided by its
+// weight (dominant resource fairness, Ghodsi et al., 2011). Each engine is shared fairly on its
+// own, which needs no sums over instances or engines.
 double EngineHome::dominantShare(const std::string &customer, std::uint32_t weight) const
 {
     const auto found = this->usage.find(customer);
@@ -253,14 +255,14 @@
     return std::max(memory, slots) / std::max<std::uint32_t>(1, weight);
 }
 
-// Priority first; then whoever has waited half of its time, so that nobody starves; then the
-// customer with the smallest dominant share; then the oldest.
+// Orders by priority; then requests that have waited half of their maximum wait, which prevents
+// starvation; then the customer with the smallest dominant share; then the oldest request.
 std::deque<RoomRequest>::iterator EngineHome::choose()
 {
     const TimePoint now = this->clock.now();
     const auto rank = [&](const RoomRequest &request) {
-        const Duration patience = request.deadline - request.since;
-        const bool aged = now - request.since > patience * agedShare;
+        const Duration waitLimit = request.deadline - request.since;
+        const bool aged = now - request.since > waitLimit * agedShare;
         const double share = this->options.fairShares && !aged
                                      ? this->dominantShare(request.customer, request.weight)
                                      : 0.0;
@@ -277,7 +279,7 @@
     while (this->takesWork() && !this->waiting.empty()) {
         const auto next = this->choose();
         if (!this->fits(*next))
-            break; // nobody passes it, or a large request would wait for ever
+            break; // later requests may not overtake it, or a large request would never be served
         this->commit(*next);
         granted.push_back(std::move(*next));
         this->waiting.erase(next);
--- a/lib/Policy/fleetmessages.cpp
+++ b/lib/Policy/fleetmessages.cpp
@@ -1,4 +1,5 @@
-// The half of the fleet policy that talks: what homes and askers say to each other.
+// The messages of the fleet policy between the homes of engines and the instances that request
+// room.
 #include "jaytrack/Policy/fleetpolicy.h"
 
 #include "granting.h"
@@ -12,14 +13,14 @@
 
 namespace {
 
-constexpr Duration subscriptionLength = std::chrono::seconds(30);
-constexpr double datagramBytes = 130; // of one datagram beside its content
-constexpr Duration longestPutOff = std::chrono::seconds(2);
-constexpr double summaryBytes = 90; // one summary with its share of a datagram
+constexpr Duration subscriptionLifetime = std::chrono::seconds(30);
+constexpr double datagramBytes = 130; // overhead of one datagram
+constexpr Duration maxDeferral = std::chrono::seconds(2);
+constexpr double summaryBytes = 90; // one summary and its share of the datagram overhead
 
 } // namespace
 
-wire::GrantBody FleetPolicy::grantBody(const AskState &state, const std::string &engine,
+wire::GrantBody FleetPolicy::grantBody(const RequestState &state, const std::string &engine,
                                        int kind) const
 {
     const TimePoint now = this->clock.now();
@@ -33,14 +34,15 @@
     body.engine = engine;
     body.kind = kind;
     body.producedTokens = request.producedTokens;
-    const bool describes = kind == GrantAsk || kind == GrantHeld;
-    if (!describes)
+    const bool carriesDetails = kind == GrantRequest || kind == GrantHeld;
+    if (!carriesDetails)
         return body;
     body.promptTokens = request.promptTokens;
     body.priority = request.priority;
     body.customer = request.customer;
     body.weight = static_cast<std::int32_t>(request.weight);
-    // Clocks of instances differ, so moments travel as the time that is left and has passed.
+    // The clocks of instances differ, so points in time are sent as remaining and elapsed
+    // durations.
     body.waitMs = std::max(0, millis(request.deadline - now));
     body.waitedMs = std::max(0, millis(now - request.since));
     body.maxTokens = request.maxTokens;
@@ -50,13 +52,13 @@
     return body;
 }
 
-// Tells the home of the request's engine, which may be this instance, about it.
-void FleetPolicy::tellHome(const AskState &state, int kind)
+// Notifies the home of the request's engine, which may be this instance.
+void FleetPolicy::notifyHome(const RequestState &state, int kind)
 {
-    this->tellHomeOf(state.engine, state, kind);
+    this->notifyHomeOf(state.engine, state, kind);
 }
 
-void FleetPolicy::tellHomeOf(const std::string &engine, const AskState &state, int kind)
+void FleetPolicy::notifyHomeOf(const std::string &engine, const RequestState &state, int kind)
 {
     const auto view = this->engines.find(engine);
     if (view == this->engines.end() || !this->options.askHomes)
@@ -65,34 +67,34 @@
     if (view->second.home)
         this->onGrantBody(this->self, body);
     else
-        this->post(view->second.homeName, body);
+        this->sendOrDefer(view->second.homeName, body);
 }
 
-// What somebody waits for goes out at once and takes along what was put off for the same instance;
-// the rest is put off, since a datagram costs more than what it says.
-void FleetPolicy::post(const std::string &instance, const wire::GrantBody &body)
+// Sends messages that a request waits for at once, together with the deferred messages for the same
+// instance. Other messages are deferred, because a datagram costs more than its content.
+void FleetPolicy::sendOrDefer(const std::string &instance, const wire::GrantBody &body)
 {
-    wire::PolicyMessage &message = (*this->putOff)[instance];
+    wire::PolicyMessage &message = (*this->deferred)[instance];
     message.grants.push_back(body);
-    const bool urgent = body.kind == GrantAsk || body.kind == GrantGiven ||
+    const bool urgent = body.kind == GrantRequest || body.kind == GrantGiven ||
                         body.kind == GrantQueued || body.kind == GrantRefused;
     if (!urgent)
         return;
-    const auto due = this->putOff->extract(instance);
+    const auto due = this->deferred->extract(instance);
     this->sendMessage(instance, due.mapped());
 }
 
-// Sends what was put off. Its pace falls with the number of receivers, so that the cost stays
-// within its bound; what is late here is that room has come free.
+// Sends the deferred messages. The interval grows with the number of receivers to keep the cost
+// within its bound; the effect is that homes learn later about room that has become free.
 void FleetPolicy::flush()
 {
     const TimePoint now = this->clock.now();
-    const double bytes = datagramBytes * static_cast<double>(this->putOff->size());
+    const double bytes = datagramBytes * static_cast<double>(this->deferred->size());
     const auto paced = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(bytes / this->options.releaseBytesPerSecond));
-    this->nextFlushAt = now + std::min<Duration>(paced, longestPutOff);
+    this->nextFlushAt = now + std::min<Duration>(paced, maxDeferral);
     std::map<std::string, wire::PolicyMessage> due;
-    due.swap(*this->putOff);
+    due.swap(*this->deferred);
     for (const auto &[instance, message] : due)
         this->sendMessage(instance, message);
 }
@@ -124,7 +126,7 @@
     }
     const auto found = this->engines.find(body.engine);
     if (found == this->engines.end() || !found->second.home)
-        return; // not its home any more, or not yet; the asker will ask again
+        return; // no longer or not yet its home; the sender will send its request again
     EngineView &view = found->second;
     const GrantKey key{std::string(from), body.serial};
     const auto produced =
@@ -145,10 +147,11 @@
     if (from != this->self)
         this->subscribers.insert_or_assign(std::string(from), now);
     switch (body.kind) {
-    case GrantAsk:
-        view.home->ask(request);
+    case GrantRequest:
+        view.home->enqueue(request);
         this->serveHome(view);
-        // Granted or refused meanwhile, or else it waits and is told so.
+        // If the request was neither granted nor refused by serveHome(), it waits and its
+        // sender is notified.
         if (view.home->isWaiting(key))
             this->answer(request, view, GrantQueued);
         return;
@@ -174,7 +177,7 @@
     this->serveHome(view);
 }
 
-// Gives out what room there is and answers those whose time is over.
+// Grants the available room and refuses requests whose deadline has passed.
 void FleetPolicy::serveHome(EngineView &view)
 {
     EngineHome &home = *view.home;
@@ -190,7 +193,7 @@
     view.leaving = home.isLeaving();
     view.room = home.roomPerMille() / 1000.0;
     view.queued = static_cast<int>(home.queued());
-    view.askedSince = 0;
+    view.requestedSince = 0;
 }
 
 void FleetPolicy::answer(const RoomRequest &request, const EngineView &view, int kind)
@@ -202,40 +205,42 @@
     if (request.key.first == this->self)
         this->onAnswer(this->self, body);
     else
-        this->post(request.key.first, body);
+        this->sendOrDefer(request.key.first, body);
 }
 
 void FleetPolicy::onAnswer(std::string_view from, const wire::GrantBody &body)
 {
-    const auto found = this->asks.find(static_cast<std::uint64_t>(body.serial));
-    const auto expects = [&body](const AskState &state) {
+    const auto found = this->requests.find(static_cast<std::uint64_t>(body.serial));
+    const auto expects = [&body](const RequestState &state) {
         const auto &queues = state.queuedAt;
-        return state.phase != AskPhase::Placed &&
+        return state.phase != RequestPhase::Placed &&
                (state.engine == body.engine ||
                 std::find(queues.begin(), queues.end(), body.engine) != queues.end());
     };
-    const bool current = found != this->asks.end() && expects(found->second);
+    const bool current = found != this->requests.end() && expects(found->second);
     if (!current) {
-        // Room given to a request that has gone elsewhere; it goes back, or it would be held for
-        // nobody. A repeated word on a request that sits on this very engine is no such room.
-        const bool held = found != this->asks.end() && found->second.phase == AskPhase::Placed &&
+        // The grant is for a request that has been placed elsewhere or has ended, so the
+        // room is returned; otherwise it would stay reserved for nothing. A duplicate grant
+        // for a request that is placed on this engine is ignored.
+        const bool held = found != this->requests.end() &&
+                          found->second.phase == RequestPhase::Placed &&
                           found->second.engine == body.engine;
         if (body.kind == GrantGiven && !held) {
-            wire::GrantBody back;
-            back.serial = body.serial;
-            back.engine = body.engine;
-            back.kind = GrantWithdrawn;
+            wire::GrantBody withdrawal;
+            withdrawal.serial = body.serial;
+            withdrawal.engine = body.engine;
+            withdrawal.kind = GrantWithdrawn;
             if (from == this->self)
-                this->onGrantBody(this->self, back);
+                this->onGrantBody(this->self, withdrawal);
             else
-                this->post(std::string(from), back);
+                this->sendOrDefer(std::string(from), withdrawal);
         }
         return;
     }
-    AskState &state = found->second;
+    RequestState &state = found->second;
     const auto known = this->engines.find(body.engine);
     if (known == this->engines.end())
-        return; // taken out of the configuration meanwhile
+        return; // removed from the configuration meanwhile
     EngineView &view = known->second;
     if (body.kind == GrantGiven) {
         this->withdrawElsewhere(state, body.engine);
@@ -250,30 +255,32 @@
         const auto &queues = state.queuedAt;
         if (std::find(queues.begin(), queues.end(), body.engine) == queues.end())
             state.queuedAt.push_back(body.engine);
-        state.phase = AskPhase::Queued;
+        state.phase = RequestPhase::Queued;
         state.stepAt = this->clock.now();
-        // The first engine was a guess on what was said a while ago; others are tried at once.
+        // The first engine was chosen by an outdated summary, so other queues are joined at
+        // once.
         if (state.attempts < static_cast<int>(this->options.queues))
-            this->queueElsewhere(state);
+            this->joinAnotherQueue(state);
         return;
     }
     view.room = std::min(view.room, 0.0);
     this->onRefused(state, body.engine);
 }
 
-void FleetPolicy::onRefused(AskState &state, const std::string &engine)
+void FleetPolicy::onRefused(RequestState &state, const std::string &engine)
 {
     std::erase(state.queuedAt, engine);
     const Duration waited = this->clock.now() - state.submittedAt;
-    if (!state.ask.mayWait && state.attempts >= mostAttempts) {
+    if (!state.ask.mayWait && state.attempts >= maxAttempts) {
         this->refuse(state.ask.id, ResultCode::Overloaded,
-                     "engines are full and this may not wait");
+                     "all engines are full and the request may not wait");
     } else if (state.ask.mayWait && waited >= state.ask.maxWait) {
         ++this->tally.expired;
-        this->refuse(state.ask.id, ResultCode::WaitExpired, "no engine had room in time");
+        this->refuse(state.ask.id, ResultCode::WaitExpired,
+                     "no engine had room within the maximum wait");
     } else if (state.queuedAt.empty() || state.engine == engine) {
-        state.phase = AskPhase::Queued;
-        state.stepAt = TimePoint{}; // looks for another at the next tick
+        state.phase = RequestPhase::Queued;
+        state.stepAt = TimePoint{}; // look for another engine at the next tick
     }
 }
 
@@ -300,16 +307,16 @@
     view.queued = summary.queued;
     view.alive = summary.alive;
     view.leaving = summary.leaving;
-    view.askedSince = 0;
+    view.requestedSince = 0;
 }
 
-// Tells those who use the engines at home here how these are. The pace falls with the number of
-// engines and users, so that the cost stays within its bound.
+// Sends summaries of the engines whose home is this instance to the instances that use them. The
+// interval grows with the number of engines and subscribers to keep the cost within its bound.
 void FleetPolicy::sendSummaries()
 {
     const TimePoint now = this->clock.now();
     std::erase_if(this->subscribers,
-                  [now](const auto &entry) { return now - entry.second > subscriptionLength; });
+                  [now](const auto &entry) { return now - entry.second > subscriptionLifetime; });
     wire::PolicyMessage message;
     for (auto &[name, view] : this->engines) {
         if (view.home)
@@ -319,7 +326,7 @@
                          static_cast<double>(this->subscribers.size());
     const auto paced = std::chrono::duration_cast<Duration>(
             std::chrono::duration<double>(bytes / this->options.summaryBytesPerSecond));
-    this->nextSummaryAt = now + std::max(this->options.summaryGap, paced);
+    this->nextSummaryAt = now + std::max(this->options.summaryInterval, paced);
     if (message.summaries.empty())
         return;
     for (const auto &[instance, since] : this->subscribers)
--- a/lib/Policy/fleetpolicy.cpp
+++ b/lib/Policy/fleetpolicy.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 
-constexpr Duration distrust = std::chrono::seconds(5);
+constexpr Duration avoidAfterLoss = std::chrono::seconds(5);
 constexpr double stepSmoothing = 0.2;
-constexpr double slowFactor = 2.0;      // times the median step, beyond which an engine is slow
-constexpr double queuedPenalty = 0.2;   // of a whole engine, for each request that waits there
-constexpr double affinityRoom = 0.1;    // least room for the cached prefix to decide
-constexpr std::uint32_t leastTold = 32; // tokens
-constexpr double homeWorth = 0.05;      // of an engine, for having its home here
+constexpr double slowFactor = 2.0;    // multiple of the median step above which an engine is slow
+constexpr double queuedPenalty = 0.2; // share of an engine, for each request that waits there
+// Minimum free share for an engine to be chosen for its cached prefix.
+constexpr double minAffinityRoom = 0.1;
+constexpr std::uint32_t minReportedTokens = 32; // tokens
+constexpr double localHomeBonus = 0.05; // share of an engine, bonus if this instance is its home
 
 std::uint64_t rank(std::string_view left, std::string_view right)
 {
@@ -33,25 +34,25 @@
 
 } // namespace
 
-FleetPolicy::FleetPolicy(std::string selfName, const Clock &time, std::uint64_t seed,
-                         PolicyTransport &messages, PlacementListener &target,
-                         const FleetPolicyOptions &chosen)
+FleetPolicy::FleetPolicy(std::string selfName, const Clock &clockSource, std::uint64_t seed,
+                         PolicyTransport &messages, PlacementListener &placementListener,
+                         const FleetPolicyOptions &policyOptions)
     : self(std::move(selfName))
-    , clock(time)
+    , clock(clockSource)
     , random(seed)
     , transport(messages)
-    , listener(target)
-    , options(chosen)
+    , listener(placementListener)
+    , options(policyOptions)
     , instances({this->self})
-    , putOff(std::make_unique<std::map<std::string, wire::PolicyMessage>>())
-    , nextSummaryAt(time.now())
-    , nextFlushAt(time.now())
+    , deferred(std::make_unique<std::map<std::string, wire::PolicyMessage>>())
+    , nextSummaryAt(clockSource.now())
+    , nextFlushAt(clockSource.now())
 {
 }
 
 FleetPolicy::~FleetPolicy() = default;
 
-// ---- What exists ----
+// ---- Engines and instances ----
 
 void FleetPolicy::setEngines(std::span<const EngineSpec> specs)
 {
@@ -91,9 +92,9 @@
     this->assignHomes();
 }
 
-// Every instance computes the same home from the same names. While views differ two instances may
-// both hold themselves for the home; the engine is then overfilled for some seconds, which costs
-// preemptions and nothing else.
+// Every instance computes the same home from the same names. While their views differ, two
+// instances may both act as the home. The engine is then overcommitted for some seconds, which only
+// costs preemptions.
 void FleetPolicy::assignHomes()
 {
     for (auto &[name, view] : this->engines) {
@@ -111,13 +112,13 @@
                                                      this->options.home);
         }
         if (moved)
-            this->moveCommitments(view);
+            this->reportCommitments(view);
     }
     this->assignSubsets();
 }
 
-// Each instance uses a bounded number of engines of a model, which differ from one instance to the
-// next, so that its work and its messages do not grow with the fleet.
+// Each instance uses a bounded number of engines of a model, and different instances use different
+// ones, so that work and messages per instance don't grow with the fleet.
 void FleetPolicy::assignSubsets()
 {
     std::map<std::string, std::vector<std::pair<std::uint64_t, EngineView *>>> ranked;
@@ -133,13 +134,15 @@
     }
 }
 
-// A new home knows nothing of what decodes already; those whose generations these are tell it.
-void FleetPolicy::moveCommitments(const EngineView &view)
+// A new home doesn't know the generations that already decode on its engine, so the instances that
+// placed them report them.
+void FleetPolicy::reportCommitments(const EngineView &view)
 {
-    for (auto &[id, state] : this->asks) {
-        if (state.phase == AskPhase::Placed && state.engine == view.spec.name)
-            this->tellHome(state, GrantHeld);
-        // The queue went with the former home; the request joins one again at the next tick.
+    for (auto &[id, state] : this->requests) {
+        if (state.phase == RequestPhase::Placed && state.engine == view.spec.name)
+            this->notifyHome(state, GrantHeld);
+        // The queue of the former home is lost; the request joins another queue at the next
+        // tick.
         if (std::erase(state.queuedAt, view.spec.name) > 0)
             state.stepAt = TimePoint{};
     }
@@ -153,15 +156,16 @@
 
 // ---- Choosing an engine ----
 
-bool FleetPolicy::usable(const EngineView &view, const AskState &state) const
+bool FleetPolicy::isUsable(const EngineView &view, const RequestState &state) const
 {
     const auto &avoid = state.ask.avoid;
-    const auto &silent = state.silent;
+    const auto &unresponsive = state.unresponsive;
     const auto &queuedAt = state.queuedAt;
     return view.alive && !view.leaving && !view.spec.leaving &&
-           view.distrustedUntil <= this->clock.now() &&
+           view.avoidedUntil <= this->clock.now() &&
            std::find(avoid.begin(), avoid.end(), view.spec.name) == avoid.end() &&
-           std::find(silent.begin(), silent.end(), view.spec.name) == silent.end() &&
+           std::find(unresponsive.begin(), unresponsive.end(), view.spec.name) ==
+                   unresponsive.end() &&
            std::find(queuedAt.begin(), queuedAt.end(), view.spec.name) == queuedAt.end();
 }
 
@@ -179,23 +183,25 @@
     return *middle;
 }
 
-// Lower is better: the share of memory in use, what was asked for since that was said, the queue,
-// and how much slower than its peers the engine is.
-double FleetPolicy::score(const EngineView &view, const AskState &, double median) const
+// Returns the cost of an engine; lower is better. It consists of the share of memory in use, the
+// share requested since the last summary, the queue, and how much slower than its peers the engine
+// is.
+double FleetPolicy::score(const EngineView &view, const RequestState &, double median) const
 {
-    double score = 1 - view.room + view.askedSince + queuedPenalty * view.queued;
+    double score = 1 - view.room + view.requestedSince + queuedPenalty * view.queued;
     if (median > 0 && view.stepSeconds > slowFactor * median)
         score += view.stepSeconds / median;
-    // Asking oneself takes neither time nor messages.
+    // A home on this instance answers without delay or messages.
     if (view.home)
-        score -= homeWorth;
+        score -= localHomeBonus;
     return score;
 }
 
-// The instances agree on where a prefix lives without any cache event: the engine that ranks
-// highest for it. Events come late and with gaps, so they are not believed at all; when that
-// engine is full, the prefix is computed anew elsewhere rather than waited for.
-FleetPolicy::EngineView *FleetPolicy::affinityChoice(const AskState &state,
+// Returns the engine that probably caches the prompt's prefix: the one that ranks highest for the
+// prefix hash, so that instances agree without exchanging cache events. Such events are late and
+// incomplete and are not used. If that engine is full, the prefix is computed again elsewhere
+// rather than waited for.
+FleetPolicy::EngineView *FleetPolicy::affinityChoice(const RequestState &state,
                                                      std::span<EngineView *const> usableViews)
 {
     if (!this->options.affinity || state.ask.prefixHash == 0)
@@ -207,25 +213,25 @@
     EngineView *best = *std::max_element(
             usableViews.begin(), usableViews.end(),
             [&rankOf](const EngineView *a, const EngineView *b) { return rankOf(a) < rankOf(b); });
-    const bool roomy = best->room - best->askedSince > affinityRoom && best->queued == 0;
+    const bool roomy = best->room - best->requestedSince > minAffinityRoom && best->queued == 0;
     return roomy ? best : nullptr;
 }
 
-FleetPolicy::EngineView *FleetPolicy::choose(const AskState &state)
+FleetPolicy::EngineView *FleetPolicy::choose(const RequestState &state)
 {
     const auto views = this->used.find(state.ask.model);
     if (views == this->used.end())
         return nullptr;
     ViewList usableViews;
     std::copy_if(views->second.begin(), views->second.end(), std::back_inserter(usableViews),
-                 [&](const EngineView *view) { return this->usable(*view, state); });
+                 [&](const EngineView *view) { return this->isUsable(*view, state); });
     if (usableViews.empty())
         return nullptr;
     const double median = this->medianStep(views->second);
     EngineView *best = nullptr;
     double bestScore = 0;
-    // A few at random instead of the best of all, or all instances would choose the same one
-    // between two summaries.
+    // Compares a few random engines instead of all. Otherwise all instances would choose the
+    // same engine between two summaries.
     for (std::size_t i = 0; i < this->options.candidates; ++i) {
         EngineView *view = usableViews[this->random() % usableViews.size()];
         const double value = this->score(*view, state, median);
@@ -235,43 +241,44 @@
         }
     }
     EngineView *cached = this->affinityChoice(state, usableViews);
-    static constexpr double affinityWorth = 0.04;
-    if (cached != nullptr && this->score(*cached, state, median) < bestScore + affinityWorth)
+    static constexpr double affinityBonus = 0.04;
+    if (cached != nullptr && this->score(*cached, state, median) < bestScore + affinityBonus)
         best = cached;
     return best;
 }
 
-// ---- Asking ----
+// ---- Requesting room ----
 
 void FleetPolicy::submit(const GenerationAsk &ask)
 {
-    AskState &state = this->asks[ask.id];
+    RequestState &state = this->requests[ask.id];
     state.ask = ask;
     state.submittedAt = this->clock.now();
-    this->askFor(state);
+    this->requestRoom(state);
 }
 
-void FleetPolicy::askFor(AskState &state)
+void FleetPolicy::requestRoom(RequestState &state)
 {
     EngineView *view = this->choose(state);
-    if (view == nullptr && !state.silent.empty()) {
+    if (view == nullptr && !state.unresponsive.empty()) {
         this->fallBack(state);
         return;
     }
     if (view == nullptr) {
-        // None now; one may come back within the time that this request may wait.
+        // No engine is usable now, but one may return within the time that this request may
+        // wait.
         if (!state.ask.mayWait) {
-            this->refuse(state.ask.id, ResultCode::NoTarget, "no engine of the model takes work");
+            this->refuse(state.ask.id, ResultCode::NoTarget, "no engine of the model accepts work");
             return;
         }
-        state.phase = AskPhase::Queued;
+        state.phase = RequestPhase::Queued;
         state.stepAt = this->clock.now();
         return;
     }
-    this->askEngine(state, *view);
+    this->requestRoomOn(state, *view);
 }
 
-RoomRequest FleetPolicy::roomRequest(const AskState &state) const
+RoomRequest FleetPolicy::roomRequest(const RequestState &state) const
 {
     const GenerationAsk &ask = state.ask;
     RoomRequest request;
@@ -289,29 +296,30 @@
     return request;
 }
 
-void FleetPolicy::askEngine(AskState &state, EngineView &view)
+void FleetPolicy::requestRoomOn(RequestState &state, EngineView &view)
 {
     ++this->tally.asked;
     ++state.attempts;
-    state.phase = AskPhase::Asking;
+    state.phase = RequestPhase::Requesting;
     state.engine = view.spec.name;
     state.stepAt = this->clock.now();
-    view.askedSince += (state.ask.promptTokens + 1.0) / static_cast<double>(view.spec.memoryTokens);
+    view.requestedSince +=
+            (state.ask.promptTokens + 1.0) / static_cast<double>(view.spec.memoryTokens);
     if (!this->options.askHomes) {
-        this->place(state, view, "by this instance's own view");
+        this->place(state, view, "chosen from this instance's own view");
         return;
     }
     if (view.home) {
-        view.home->ask(this->roomRequest(state));
+        view.home->enqueue(this->roomRequest(state));
         this->serveHome(view);
         return;
     }
-    this->tellHome(state, GrantAsk);
+    this->notifyHome(state, GrantRequest);
 }
 
-void FleetPolicy::place(AskState &state, EngineView &view, std::string reason)
+void FleetPolicy::place(RequestState &state, EngineView &view, std::string reason)
 {
-    state.phase = AskPhase::Placed;
+    state.phase = RequestPhase::Placed;
     state.engine = view.spec.name;
     state.producedAt = this->clock.now();
     state.stepAt = state.producedAt;
@@ -323,54 +331,56 @@
 
 void FleetPolicy::refuse(std::uint64_t id, ResultCode code, std::string reason)
 {
-    this->asks.erase(id);
+    this->requests.erase(id);
     this->listener.onPlacement(id, {code, "", std::move(reason), std::chrono::seconds(2)});
 }
 
-// No home answers, because this instance is cut off from it or it has just died. The engines are
-// still there, so the request goes out on this instance's own count, up to its even part of an
-// engine's slots; overfilling costs preemptions, refusing would cost the request.
-void FleetPolicy::fallBack(AskState &state)
+// Places a request whose engines' homes do not answer, because this instance is cut off from them
+// or they have just failed. The engines may still work, so the request is placed by this instance's
+// own count, up to its equal share of an engine's slots. Overcommitting costs preemptions; refusing
+// would fail the request.
+void FleetPolicy::fallBack(RequestState &state)
 {
     EngineView *best = nullptr;
-    state.silent.clear();
+    state.unresponsive.clear();
     for (EngineView *view : this->used[state.ask.model]) {
         const std::size_t part =
                 std::max<std::size_t>(1, view->spec.slots / this->instances.size());
-        if (!this->usable(*view, state) || view->own >= part)
+        if (!this->isUsable(*view, state) || view->own >= part)
             continue;
         if (best == nullptr || view->own < best->own)
             best = view;
     }
     if (best != nullptr) {
         ++this->tally.fallbacks;
-        this->place(state, *best, "its engine's home does not answer; within this instance's part");
+        this->place(state, *best,
+                    "the engine's home does not answer; placed within this instance's share");
         return;
     }
-    state.phase = AskPhase::Queued;
+    state.phase = RequestPhase::Queued;
     state.stepAt = this->clock.now();
 }
 
 void FleetPolicy::withdraw(std::uint64_t id)
 {
-    const auto found = this->asks.find(id);
-    if (found == this->asks.end())
+    const auto found = this->requests.find(id);
+    if (found == this->requests.end())
         return;
-    if (found->second.phase != AskPhase::Placed)
+    if (found->second.phase != RequestPhase::Placed)
         this->withdrawElsewhere(found->second, "");
-    this->asks.erase(found);
+    this->requests.erase(found);
 }
 
-// Takes the request out of every queue but that of one engine.
-void FleetPolicy::withdrawElsewhere(AskState &state, std::string_view keep)
+// Withdraws the request from every queue except that of the engine `keep`.
+void FleetPolicy::withdrawElsewhere(RequestState &state, std::string_view keep)
 {
     std::vector<std::string> queues = std::move(state.queuedAt);
     state.queuedAt.clear();
-    if (state.phase == AskPhase::Asking)
+    if (state.phase == RequestPhase::Requesting)
         queues.push_back(state.engine);
     for (const std::string &engine : queues) {
         if (engine != keep)
-            this->tellHomeOf(engine, state, GrantWithdrawn);
+            this->notifyHomeOf(engine, state, GrantWithdrawn);
     }
 }
 
@@ -378,15 +388,15 @@
 
 void FleetPolicy::progress(std::uint64_t id, std::uint32_t producedTokens)
 {
-    const auto found = this->asks.find(id);
-    if (found == this->asks.end() || found->second.phase != AskPhase::Placed)
+    const auto found = this->requests.find(id);
+    if (found == this->requests.end() || found->second.phase != RequestPhase::Placed)
         return;
-    AskState &state = found->second;
+    RequestState &state = found->second;
     const TimePoint now = this->clock.now();
     const double seconds = std::chrono::duration<double>(now - state.producedAt).count();
     const auto view = this->engines.find(state.engine);
-    static constexpr double leastSeconds = 0.25;
-    if (seconds < leastSeconds)
+    static constexpr double minSampleSeconds = 0.25;
+    if (seconds < minSampleSeconds)
         return;
     if (producedTokens > state.produced && state.produced > 0 && view != this->engines.end()) {
         const double step = seconds / (producedTokens - state.produced);
@@ -395,28 +405,28 @@
     }
     state.produced = producedTokens;
     state.producedAt = now;
-    // The home counts on by itself; it is told each time the length has doubled.
-    if (producedTokens < 2 * state.toldHome)
+    // The home extrapolates the length; it is notified each time the length has doubled.
+    if (producedTokens < 2 * state.reportedTokens)
         return;
-    state.toldHome = std::max(leastTold, producedTokens);
-    this->tellHome(state, GrantProgress);
+    state.reportedTokens = std::max(minReportedTokens, producedTokens);
+    this->notifyHome(state, GrantProgress);
 }
 
 void FleetPolicy::departed(std::uint64_t id, Departure how, std::uint32_t producedTokens)
 {
-    const auto found = this->asks.find(id);
-    if (found == this->asks.end())
+    const auto found = this->requests.find(id);
+    if (found == this->requests.end())
         return;
-    AskState &state = found->second;
+    RequestState &state = found->second;
     state.produced = producedTokens;
     const auto view = this->engines.find(state.engine);
-    if (view != this->engines.end() && state.phase == AskPhase::Placed) {
+    if (view != this->engines.end() && state.phase == RequestPhase::Placed) {
         --view->second.own;
         if (how == Departure::Lost || how == Departure::Refused)
-            view->second.distrustedUntil = this->clock.now() + distrust;
+            view->second.avoidedUntil = this->clock.now() + avoidAfterLoss;
     }
-    this->tellHome(state, how == Departure::Finished ? GrantFinished : GrantLost);
-    this->asks.erase(found);
+    this->notifyHome(state, how == Departure::Finished ? GrantFinished : GrantLost);
+    this->requests.erase(found);
 }
 
 void FleetPolicy::report(std::string_view engine, const EngineReport &latest)
@@ -436,14 +446,14 @@
 void FleetPolicy::tick()
 {
     std::vector<std::uint64_t> ids;
-    for (const auto &[id, state] : this->asks) {
-        if (state.phase != AskPhase::Placed)
+    for (const auto &[id, state] : this->requests) {
+        if (state.phase != RequestPhase::Placed)
             ids.push_back(id);
     }
     for (const std::uint64_t id : ids) {
-        const auto found = this->asks.find(id);
-        if (found != this->asks.end())
-            this->checkAsk(found->second);
+        const auto found = this->requests.find(id);
+        if (found != this->requests.end())
+            this->checkRequest(found->second);
     }
     for (auto &[name, view] : this->engines) {
         if (view.home)
@@ -455,38 +465,40 @@
         this->flush();
 }
 
-void FleetPolicy::checkAsk(AskState &state)
+void FleetPolicy::checkRequest(RequestState &state)
 {
     const TimePoint now = this->clock.now();
     const Duration waited = now - state.submittedAt;
-    const Duration patience =
-            state.ask.mayWait ? state.ask.maxWait : this->options.answerWait * mostAttempts;
-    if (waited > patience) {
+    const Duration waitLimit =
+            state.ask.mayWait ? state.ask.maxWait : this->options.answerTimeout * maxAttempts;
+    if (waited > waitLimit) {
         ++this->tally.expired;
         this->withdrawElsewhere(state, "");
-        this->refuse(state.ask.id, ResultCode::WaitExpired, "no engine had room in time");
+        this->refuse(state.ask.id, ResultCode::WaitExpired,
+                     "no engine had room within the maximum wait");
         return;
     }
     const Duration inStep = now - state.stepAt;
-    if (state.phase == AskPhase::Asking && inStep > this->options.answerWait) {
-        this->tellHome(state, GrantWithdrawn);
-        state.silent.push_back(state.engine);
+    if (state.phase == RequestPhase::Requesting && inStep > this->options.answerTimeout) {
+        this->notifyHome(state, GrantWithdrawn);
+        state.unresponsive.push_back(state.engine);
         if (!state.queuedAt.empty())
-            state.phase = AskPhase::Queued;
-        else if (state.silent.size() >= mostAttempts)
+            state.phase = RequestPhase::Queued;
+        else if (state.unresponsive.size() >= maxAttempts)
             this->fallBack(state);
         else
-            this->askFor(state);
+            this->requestRoom(state);
         return;
     }
-    if (state.phase == AskPhase::Queued && inStep >= this->options.reconsider)
-        this->queueElsewhere(state);
+    if (state.phase == RequestPhase::Queued && inStep >= this->options.reconsiderInterval)
+        this->joinAnotherQueue(state);
 }
 
-// One queue may be stuck behind a long generation while another moves. A request that waits joins
-// a few, the first that grants it room wins, and the others are told; so it waits for the best of
-// several engines without anybody having to know which one that will be.
-void FleetPolicy::queueElsewhere(AskState &state)
+// Lets a waiting request join the queues of several engines, since one queue may be blocked by a
+// long generation while another advances. The first engine that grants room is used and the request
+// is withdrawn from the others, so it waits for the fastest queue without a prediction of which one
+// that is.
+void FleetPolicy::joinAnotherQueue(RequestState &state)
 {
     state.stepAt = this->clock.now();
     if (state.queuedAt.size() >= this->options.queues)
@@ -494,8 +506,8 @@
     EngineView *other = this->choose(state);
     if (other == nullptr)
         return;
-    ++this->tally.queuedTwice;
-    this->askEngine(state, *other);
+    ++this->tally.additionalQueues;
+    this->requestRoomOn(state, *other);
 }
 
 } // namespace jaytrack
--- a/lib/Policy/granting.h
+++ b/lib/Policy/granting.h
@@ -1,24 +1,24 @@
-// What the two halves of the fleet policy share; private to the library.
+// Definitions shared by the two source files of the fleet policy. Private to the library.
 #ifndef JAYTRACK_LIB_POLICY_GRANTING_H
 #define JAYTRACK_LIB_POLICY_GRANTING_H
 
 namespace jaytrack {
 
-// Steps in the handing out of room, as they stand in GrantBody.kind.
+// Kinds of message between an instance and an engine's home, as written in GrantBody.kind.
 enum GrantKind {
-    GrantAsk = 0,
+    GrantRequest = 0,
     GrantGiven = 1,
     GrantQueued = 2,
     GrantRefused = 3,
     GrantWithdrawn = 4,
     GrantFinished = 5,
     GrantLost = 6,
-    GrantHeld = 7, // a generation that decodes already, told to a new home
+    GrantHeld = 7, // a generation that already decodes, reported to a new home
     GrantProgress = 8
 };
 
-// How many engines a request is asked for before it counts as refused or unanswered.
-inline constexpr int mostAttempts = 3;
+// Number of engines tried for a request before it counts as refused or unanswered.
+inline constexpr int maxAttempts = 3;
 
 } // namespace jaytrack
 
--- a/lib/Policy/lengthestimator.cpp
+++ b/lib/Policy/lengthestimator.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr double bucketsPerOctave = 2;
-constexpr double fadeAbove = 4000; // total weight at which all weights are halved
-constexpr double priorWeight = 8;  // observations that the prior counts for
-constexpr double modelWeight = 40; // observations that the model counts for beside the customer's
+constexpr double decayThreshold = 4000; // total weight at which all weights are halved
+constexpr double priorWeight = 8;       // weight of the prior, in observations
+// Maximum weight of the model's lengths beside the customer's, in observations.
+constexpr double modelWeight = 40;
 
 double position(double length)
 {
@@ -24,7 +25,7 @@
     const auto bucket = std::min(static_cast<std::size_t>(position(length)), buckets - 1);
     this->weights[bucket] += weight;
     this->sum += weight;
-    if (this->sum < fadeAbove)
+    if (this->sum < decayThreshold)
         return;
     for (double &value : this->weights)
         value /= 2;
@@ -42,8 +43,8 @@
     return weight;
 }
 
-// Before anything is known lengths are taken to spread evenly, by octaves, from sixteen tokens to
-// eight thousand: cautious enough not to fill an engine with strangers.
+// The prior spreads lengths evenly by octave from 16 to 8192 tokens. This is cautious enough not to
+// fill an engine with generations of unknown length.
 LengthEstimator::LengthEstimator()
 {
     static constexpr int firstOctave = 4;
@@ -63,7 +64,7 @@
 void LengthEstimator::learn(std::string_view model, std::string_view customer, std::uint32_t length)
 {
     this->models[std::string(model)].add(length);
-    if (this->customers.size() >= mostKinds)
+    if (this->customers.size() >= maxKinds)
         this->customers.erase(this->customers.begin());
     this->customers[keyOf(model, customer)].add(length);
 }
@@ -76,7 +77,7 @@
     const auto byModel = this->models.find(std::string(model));
     if (byModel != this->models.end()) {
         kind.model = &byModel->second;
-        // The model speaks for a customer until that has shown enough of its own.
+        // The model's lengths predominate until the customer has enough observations.
         kind.modelScale = std::min(1.0, modelWeight / byModel->second.total());
     }
     const auto own = this->customers.find(keyOf(model, customer));
@@ -99,7 +100,8 @@
 double LengthEstimator::Kind::survives(double age, double more) const
 {
     const double now = this->above(age);
-    // Older than anything seen: assume it goes on as far again as it has come, half the time.
+    // Older than every recorded length: assume that the generation doubles its length with
+    // probability one half.
     if (now < 1e-6)
         return more <= 0 ? 1.0 : age / (age + more);
     return std::clamp(this->above(age + more) / now, 0.0, 1.0);
--- a/lib/Policy/targethealth.cpp
+++ b/lib/Policy/targethealth.cpp
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr double smoothing = 0.2;
-constexpr double minimumDrift = 1.01;   // how fast an old best latency is forgotten, per answer
-constexpr double congestedRatio = 2.0;  // latency over its best that shows a queue
-constexpr double congestedFloor = 0.02; // seconds above the best that are never called a queue
+constexpr double bestLatencyGrowth = 1.01; // growth of the recorded best latency per answer
+constexpr double congestedRatio = 2.0; // ratio of latency to best latency that indicates queueing
+// Differences up to this many seconds never indicate queueing.
+constexpr double congestedFloor = 0.02;
 constexpr double decrease = 0.9;
 constexpr Duration slowStart = std::chrono::seconds(10);
 constexpr std::size_t peersForMedian = 3;
 
 } // namespace
 
-TargetHealth::TargetHealth(const Clock &time, std::uint64_t seed, TargetHealthBounds limits)
-    : clock(time)
+TargetHealth::TargetHealth(const Clock &clockSource, std::uint64_t seed, TargetHealthBounds limits)
+    : clock(clockSource)
     , random(seed)
     , bounds(limits)
     , retryTokens(limits.retryBurst)
@@ -30,12 +31,12 @@
 {
     const auto [found, added] = this->states.try_emplace(std::string(target));
     if (added)
-        found->second.limit = this->bounds.firstLimit;
+        found->second.limit = this->bounds.initialLimit;
     return found->second;
 }
 
-// A target that comes back cold is brought up to its limit step by step, or the whole fleet would
-// push it over at once.
+// Raises the limit of a target that returns from an ejection step by step. Otherwise the whole
+// fleet would overload the cold target at once.
 double TargetHealth::effectiveLimit(const State &state) const
 {
     const Duration since = this->clock.now() - state.returnedAt;
@@ -46,7 +47,7 @@
     return std::max(1.0, state.limit * share);
 }
 
-bool TargetHealth::usable(const State &state) const
+bool TargetHealth::isUsable(const State &state) const
 {
     return this->clock.now() >= state.ejectedUntil &&
            state.outstanding < this->effectiveLimit(state);
@@ -58,13 +59,13 @@
     std::vector<int> ejected;
     for (std::size_t i = 0; i < names.size(); ++i) {
         const State &state = this->stateOf(names[i]);
-        if (this->usable(state))
+        if (this->isUsable(state))
             candidates.push_back(static_cast<int>(i));
         else if (this->clock.now() < state.ejectedUntil)
             ejected.push_back(static_cast<int>(i));
     }
-    // When every target is ejected the judgement itself is in doubt, the cause more likely a link
-    // or this instance; trying is better than refusing all.
+    // If every target is ejected, the cause is more likely a network link or this instance than
+    // the targets. Trying one is better than refusing all requests.
     if (candidates.empty() && ejected.size() == names.size())
         candidates = std::move(ejected);
     if (candidates.empty())
@@ -88,7 +89,7 @@
 void TargetHealth::ended(std::string_view target, bool failed, Duration took)
 {
     State &state = this->stateOf(target);
-    assert(state.outstanding > 0 && "a request ends after it began");
+    assert(state.outstanding > 0 && "a request can end only after it began");
     --state.outstanding;
     if (state.gone) {
         this->forget(target);
@@ -117,25 +118,25 @@
         this->states.erase(found);
 }
 
-// Additive increase while answers come about as fast as they ever did, multiplicative decrease
-// when they queue: the target's own limit is found without being configured.
+// Finds the target's concurrency limit without configuration: additive increase while latency stays
+// close to its best value, multiplicative decrease when requests queue or fail.
 void TargetHealth::adapt(State &state, double seconds, bool failed)
 {
     if (!failed) {
-        const double drifted = state.bestLatency * minimumDrift;
+        const double drifted = state.bestLatency * bestLatencyGrowth;
         state.bestLatency = state.bestLatency == 0 ? seconds : std::min(seconds, drifted);
     }
     if (failed || seconds > congestedRatio * state.bestLatency + congestedFloor)
         state.limit = std::max(1.0, state.limit * decrease);
     else
-        state.limit = std::min(this->bounds.mostLimit, state.limit + 1.0 / state.limit);
+        state.limit = std::min(this->bounds.maxLimit, state.limit + 1.0 / state.limit);
 }
 
 void TargetHealth::eject(State &state)
 {
     const int doublings = std::min(state.ejectionsInRow, 10);
     const Duration length =
-            std::min(this->bounds.longestEjection, this->bounds.ejectFor * (1 << doublings));
+            std::min(this->bounds.maxEjection, this->bounds.firstEjection * (1 << doublings));
     ++state.ejectionsInRow;
     state.failuresInRow = 0;
     state.ejectedUntil = this->clock.now() + length;
@@ -143,8 +144,9 @@
     state.latency = 0;
 }
 
-// A slow target hurts more than a dead one, because everything waits for it. With few peers there
-// is no telling who is the odd one, so nobody is ejected for slowness then.
+// Ejects a target that is much slower than its peers. A slow target does more harm than a dead one,
+// because every request to it waits. With fewer than three measured peers the outlier can't be
+// determined, so no target is ejected for slowness.
 void TargetHealth::ejectIfSlow(State &state)
 {
     std::vector<double> latencies;
@@ -181,7 +183,7 @@
 double TargetHealth::limitOf(std::string_view target) const
 {
     const auto found = this->states.find(std::string(target));
-    return found == this->states.end() ? this->bounds.firstLimit
+    return found == this->states.end() ? this->bounds.initialLimit
                                        : this->effectiveLimit(found->second);
 }
 
--- a/unittests/Policy/burnmetertest.cpp
+++ b/unittests/Policy/burnmetertest.cpp
@@ -39,7 +39,8 @@
     const auto rows = meter.rows();
     const BurnRow &first = rowOf(rows, "first_token");
     cr_assert(first.total[0] == 10 && first.bad[0] == 2);
-    cr_assert_float_eq(first.burn(0), 2.0, 1e-9, "a fifth is bad where a tenth is allowed");
+    cr_assert_float_eq(first.burn(0), 2.0, 1e-9,
+                       "a fifth of the requests is bad where a tenth is allowed");
     cr_assert(rowOf(rows, "answered").bad[0] == 0);
 
     clock.advance(std::chrono::minutes(10));
@@ -60,8 +61,8 @@
     cr_assert(meter.rows()[0].bad[0] == 1);
 }
 
-// Symptom: each instance sees half a burn and nobody is woken. Events: the load is spread over two.
-// Cause: averaging ratios instead of adding counts.
+// Guards against averaging the ratios of instances instead of adding their counts. With the load
+// spread over two instances each would report half of the burn rate, and no alert would be raised.
 Test(burnmeter, mergesByAddition)
 {
     ManualClock clock;
--- a/unittests/Policy/targethealthtest.cpp
+++ b/unittests/Policy/targethealthtest.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-struct Bench
+struct Fixture
 {
-    Bench() { this->clock.advance(std::chrono::hours(1)); }
+    Fixture() { this->clock.advance(std::chrono::hours(1)); }
 
     void request(std::string_view target, bool failed, std::chrono::milliseconds took)
     {
@@ -23,80 +23,80 @@
 
 } // namespace
 
-Test(targethealth, ejectsTheDeadAndTriesThemAgain)
+Test(targethealth, ejectsFailedTargetsForALimitedTime)
 {
-    Bench bench;
+    Fixture fixture;
     for (int i = 0; i < 3; ++i)
-        bench.request("a", true, std::chrono::milliseconds(500));
-    cr_assert(bench.health.isEjected("a"));
+        fixture.request("a", true, std::chrono::milliseconds(500));
+    cr_assert(fixture.health.isEjected("a"));
     for (int i = 0; i < 50; ++i)
-        cr_assert(bench.health.choose(bench.names) != 0);
-    bench.clock.advance(std::chrono::seconds(6));
-    cr_assert(!bench.health.isEjected("a"));
+        cr_assert(fixture.health.choose(fixture.names) != 0);
+    fixture.clock.advance(std::chrono::seconds(6));
+    cr_assert(!fixture.health.isEjected("a"));
 }
 
-// Symptom: every request takes five times as long. Events: one of several targets has become slow
-// but still answers. Cause: ejecting only what fails.
-Test(targethealth, ejectsTheSlow)
+// Guards against ejecting only targets that fail. If one of several targets becomes slow but still
+// answers, requests take five times as long.
+Test(targethealth, ejectsSlowTargets)
 {
-    Bench bench;
+    Fixture fixture;
     for (int i = 0; i < 20; ++i) {
-        bench.request("a", false, std::chrono::milliseconds(10));
-        bench.request("b", false, std::chrono::milliseconds(11));
-        bench.request("c", false, std::chrono::milliseconds(100));
+        fixture.request("a", false, std::chrono::milliseconds(10));
+        fixture.request("b", false, std::chrono::milliseconds(11));
+        fixture.request("c", false, std::chrono::milliseconds(100));
     }
-    cr_assert(bench.health.isEjected("c"));
-    cr_assert(!bench.health.isEjected("a"));
+    cr_assert(fixture.health.isEjected("c"));
+    cr_assert(!fixture.health.isEjected("a"));
 }
 
-// Symptom: everything is refused though the targets are well. Events: this instance's own link was
-// down, all targets were ejected. Cause: believing a judgement that condemns all.
-Test(targethealth, triesOnWhenAllAreEjected)
+// Guards against refusing every request when all targets are ejected. This happens when the network
+// link of this instance was down while the targets were healthy.
+Test(targethealth, choosesATargetWhenAllAreEjected)
 {
-    Bench bench;
-    for (const std::string_view name : bench.names) {
+    Fixture fixture;
+    for (const std::string_view name : fixture.names) {
         for (int i = 0; i < 3; ++i)
-            bench.request(name, true, std::chrono::milliseconds(500));
+            fixture.request(name, true, std::chrono::milliseconds(500));
     }
-    cr_assert(bench.health.choose(bench.names) >= 0);
+    cr_assert(fixture.health.choose(fixture.names) >= 0);
 }
 
-// Symptom: a target that has come back falls over again. Events: all send it their full share at
-// once. Cause: no slow start.
-Test(targethealth, returnsSlowly)
+// Guards against a missing slow start: a target that has just returned fails again if all instances
+// send it their full share at once.
+Test(targethealth, startsSlowlyAfterAnEjection)
 {
-    Bench bench;
-    const double before = bench.health.limitOf("a");
+    Fixture fixture;
+    const double before = fixture.health.limitOf("a");
     for (int i = 0; i < 3; ++i)
-        bench.request("a", true, std::chrono::milliseconds(500));
-    bench.clock.advance(std::chrono::milliseconds(5500));
-    cr_assert(bench.health.limitOf("a") < before / 4);
-    bench.clock.advance(std::chrono::seconds(20));
-    cr_assert(bench.health.limitOf("a") > before / 2);
+        fixture.request("a", true, std::chrono::milliseconds(500));
+    fixture.clock.advance(std::chrono::milliseconds(5500));
+    cr_assert(fixture.health.limitOf("a") < before / 4);
+    fixture.clock.advance(std::chrono::seconds(20));
+    cr_assert(fixture.health.limitOf("a") > before / 2);
 }
 
-// Symptom: an overload does not end when the load does. Events: each failure is repeated, the
-// repeats are the load. Cause: repeats without a budget.
-Test(targethealth, boundsRepeats)
+// Guards against retries without a budget: each failure is retried, and the retries sustain an
+// overload after the original load has ended.
+Test(targethealth, boundsRetries)
 {
-    Bench bench;
+    Fixture fixture;
     int granted = 0;
     for (int i = 0; i < 1000; ++i) {
-        bench.request("a", true, std::chrono::milliseconds(1));
-        granted += bench.health.takeRetry() ? 1 : 0;
+        fixture.request("a", true, std::chrono::milliseconds(1));
+        granted += fixture.health.takeRetry() ? 1 : 0;
     }
-    cr_assert(granted <= 120, "%d repeats for 1000 requests", granted);
+    cr_assert(granted <= 120, "%d retries for 1000 requests", granted);
     cr_assert(granted >= 50);
 }
 
 Test(targethealth, findsTheTargetsLimit)
 {
-    Bench bench;
+    Fixture fixture;
     for (int i = 0; i < 200; ++i)
-        bench.request("a", false, std::chrono::milliseconds(10));
-    const double grown = bench.health.limitOf("a");
+        fixture.request("a", false, std::chrono::milliseconds(10));
+    const double grown = fixture.health.limitOf("a");
     cr_assert(grown > 16);
     for (int i = 0; i < 20; ++i)
-        bench.request("a", false, std::chrono::milliseconds(200));
-    cr_assert(bench.health.limitOf("a") < grown / 2);
+        fixture.request("a", false, std::chrono::milliseconds(200));
+    cr_assert(fixture.health.limitOf("a") < grown / 2);
 }
--- a/unittests/Policy/targetpausestest.cpp
+++ b/unittests/Policy/targetpausestest.cpp
@@ -4,8 +4,8 @@
 
 using namespace jaytrack;
 
-// A target that asked for rest gets requests before it is over, or none for ever; or an answer that
-// was overtaken by a later one ends the longer rest that that one asked for.
+// Guards against a pause that ends too early or never ends, and against an answer that arrives out
+// of order and shortens a longer pause.
 Test(targetPauses, lastAsLongAsTheTargetAsked)
 {
     ManualClock clock;
