--- a/include/jaytrack/Cluster/configspread.h
+++ b/include/jaytrack/Cluster/configspread.h
@@ -1,5 +1,5 @@
-// How a revision of the configuration reaches every instance, whoever read it first, and how an
-// instance knows whether what it holds may be old.
+// Propagates configuration revisions between instances, whichever instance reads a revision first,
+// and tracks whether the local revision may be outdated.
 #ifndef JAYTRACK_CLUSTER_CONFIGSPREAD_H
 #define JAYTRACK_CLUSTER_CONFIGSPREAD_H
 
@@ -14,18 +14,19 @@
 
 namespace jaytrack {
 
-// Where documents come into force.
+// Applies configuration documents.
 class DocumentSink
 {
 public:
     virtual ~DocumentSink() = default;
 
-    // Offers a document; taken only if it is newer than the one in force and well formed.
+    // Offers a document. It is applied only if it is well-formed and newer than the one in
+    // force.
     virtual void offer(std::string_view bytes, std::uint64_t revision, std::string_view source) = 0;
     virtual std::uint64_t revision() const = 0;
 };
 
-// Asks a peer for its document. The answer comes to ConfigSpread::onFetched.
+// Requests the document of a peer. The answer is passed to onFetched().
 class DocumentFetcher
 {
 public:
@@ -36,40 +37,46 @@
 struct ConfigSpreadOptions
 {
     Duration fetchTimeout = std::chrono::seconds(2);
-    Duration readyDelay = std::chrono::milliseconds(1500); // to hear from peers at start
-    Duration cautiousAfter = std::chrono::seconds(10);     // without confirmation
+    // Time to wait for answers of peers after the start.
+    Duration readyDelay = std::chrono::milliseconds(1500);
+    Duration staleAfter = std::chrono::seconds(10); // maximum time without confirmation
 };
 
-// Not safe for several threads at once.
+// Fetches newer revisions from peers and records when the revision in force was last confirmed. Not
+// thread-safe.
 class ConfigSpread
 {
 public:
-    ConfigSpread(const Clock &time, std::uint64_t seed, DocumentSink &target,
-                 DocumentFetcher &source, const ConfigSpreadOptions &chosen = {});
+    ConfigSpread(const Clock &clockSource, std::uint64_t seed, DocumentSink &documentSink,
+                 DocumentFetcher &documentFetcher, const ConfigSpreadOptions &initialOptions = {});
 
-    // A peer has this revision in force, which it knew to be the newest so long ago; askedAt is
-    // when the question was put that it answered, or nothing if it spoke unasked.
+    // Handles the revision that a peer has in force. `age` is how long ago the peer knew it to
+    // be the newest. `requestedAt` is when the request was sent that the peer answered, or empty
+    // for an unsolicited message.
     void onPeer(const std::string &peerAddress, std::uint64_t revision, Duration age,
-                std::optional<TimePoint> askedAt);
+                std::optional<TimePoint> requestedAt);
 
-    // The service answered a question put at that moment, and has nothing newer than this.
-    void onService(std::uint64_t revision, TimePoint askedAt);
+    // Handles an answer of the configuration service to a request sent at `requestedAt`: `revision`
+    // is the newest one that the service has.
+    void onService(std::uint64_t revision, TimePoint requestedAt);
 
-    // A fetch ended; the bytes are nothing if it failed.
+    // Handles the end of a fetch. `bytes` is empty if the fetch failed.
     void onFetched(const std::string &peerAddress, std::uint64_t revision,
                    const std::optional<std::string> &bytes);
 
     void tick();
 
-    // How long ago the revision in force was known to be the newest.
+    // Returns how long ago the revision in force was known to be the newest.
     Duration age() const;
 
-    // Whether the rules in force may have been replaced without this instance knowing. It then
-    // goes on, but repeats nothing that a newer rule might forbid to repeat.
+    // Whether the rules in force may have been replaced without this instance knowing. The
+    // instance then continues to serve, but does not retry anything that a newer rule might
+    // forbid to retry.
     bool cautious() const;
 
-    // Whether this instance has heard enough since its start to serve. One that started from a
-    // stale replica alone would serve under rules that the others have left behind.
+    // Whether this instance has compared its revision with enough peers since its start to
+    // serve. Otherwise an instance started from a stale replica would serve with rules that the
+    // others have already replaced.
     bool mayServe() const;
 
 private:
@@ -84,8 +91,8 @@
     TimePoint startedAt;
     TimePoint confirmedAt;
     bool everConfirmed = false;
-    bool peerCompared = false;                  // some peer answered and had nothing newer
-    std::map<std::string, std::uint64_t> ahead; // peers that claim a newer revision
+    bool comparedWithPeer = false;                   // a peer answered and had no newer revision
+    std::map<std::string, std::uint64_t> newerPeers; // peers that report a newer revision
     std::string fetchingFrom;
     TimePoint fetchingSince;
 };
--- a/include/jaytrack/Cluster/membership.h
+++ b/include/jaytrack/Cluster/membership.h
@@ -1,9 +1,9 @@
-// Which instances exist: failure detection by probing with suspicion, spread by gossip over
-// datagrams, and with it the news of configuration revisions.
+// Tracks which instances are up. Failures are detected by probes with suspicion; the results,
+// together with the configuration revision, are spread by gossip in datagrams.
 //
-// The protocol follows SWIM (Das, Gupta, Motivala, 2002): each instance probes one other in each
-// period, directly and then through a few others, so the cost of an instance does not depend on
-// how many there are, and what is learnt rides on the probes.
+// The protocol follows SWIM (Das, Gupta, Motivala, 2002): in each period an instance probes one
+// other instance, directly and then through a few others. The cost per instance therefore does not
+// depend on the number of instances, and updates are piggybacked on the probes.
 #ifndef JAYTRACK_CLUSTER_MEMBERSHIP_H
 #define JAYTRACK_CLUSTER_MEMBERSHIP_H
 
@@ -28,10 +28,10 @@
 class PeerMessage;
 } // namespace wire
 
-// In the order in which one state overrides another of the same version.
+// A later state overrides an earlier one of the same version.
 enum class MemberState { Joining = 0, Live = 1, Suspect = 2, Leaving = 3, Gone = 4 };
 
-// What is known of one instance.
+// The known state of one instance.
 struct Member
 {
     std::string name;
@@ -50,7 +50,7 @@
     }
 };
 
-// Carries datagrams. They may be lost, late, doubled and reordered.
+// Carries datagrams. They may be lost, delayed, duplicated or reordered.
 class PeerTransport
 {
 public:
@@ -58,54 +58,59 @@
     virtual void send(std::string_view address, std::string datagram) = 0;
 };
 
-// Hears of what membership learns. Called from within its functions.
+// Receives membership events. Called from within the functions of Membership.
 class MembershipListener
 {
 public:
     virtual ~MembershipListener() = default;
 
-    // Who is up, or leaving, has changed. Called once for all that one message or tick brought.
+    // The set of members that are up or leaving has changed. Called once for all changes of one
+    // message or tick.
     virtual void onMembersChanged() = 0;
 
-    // A peer answered a question that was asked at the given moment and has this revision in
-    // force, confirmed with the service so long ago.
+    // A peer answered a request sent at `requestedAt` and has this revision in force, which was
+    // confirmed with the service `configAge` ago.
     virtual void onPeerHeard(const Member &peer, std::uint64_t revision, Duration configAge,
-                             TimePoint askedAt) = 0;
+                             TimePoint requestedAt) = 0;
 
-    // A policy of another instance sent this to ours.
+    // The placement policy of another instance sent this message.
     virtual void onPolicyMessage(std::string_view from, std::string_view message) = 0;
 };
 
 struct MembershipOptions
 {
     Duration probePeriod = std::chrono::milliseconds(500);
-    Duration ackWait = std::chrono::milliseconds(150);
+    Duration ackTimeout = std::chrono::milliseconds(150);
     Duration suspicionBase = std::chrono::seconds(3);
-    Duration suspicionPerDoubling = std::chrono::milliseconds(500); // of the number of members
-    Duration forgetGone = std::chrono::hours(2);
+    // For each doubling of the number of members.
+    Duration suspicionPerDoubling = std::chrono::milliseconds(500);
+    Duration goneRetention = std::chrono::hours(2);
     Duration reconnectPeriod = std::chrono::seconds(5);
-    std::size_t helpers = 3;      // asked to probe where no direct answer came
-    std::size_t rumourFanout = 3; // told at once of a new revision
+    // Peers that are requested to probe a member that did not answer directly.
+    std::size_t indirectProbes = 3;
+    std::size_t rumourFanout = 3; // peers that are notified of a new revision at once
     std::size_t recordsPerMessage = 6;
-    int changeRepeats = 4; // times log2 of the members: how often a change is passed on
+    int changeRepeats = 4; // a change is passed on this many times log2 of the number of members
 
-    // A member that starts asks others for all that they know, after this pause each time, until
-    // one knows the same; then at twice the pause each time, up to the longest. Gossip alone brings
-    // six records a message, most of them known already: 195 instances that start together took
-    // 36 s to know each other.
-    Duration firstTablePause = std::chrono::milliseconds(500);
-    Duration longestTablePause = std::chrono::seconds(8);
+    // A starting member requests the full table of other members at this interval until one has
+    // the same table; after that the interval doubles up to the maximum. Gossip alone carries
+    // six records per message, most of them already known: 195 instances that started together
+    // took 36 s to discover each other.
+    Duration minTableInterval = std::chrono::milliseconds(500);
+    Duration maxTableInterval = std::chrono::seconds(8);
 
-    // Records of some 80 bytes in one message of a table; 4 KB fit into any receiver's buffer.
+    // Maximum number of records in one table message. At about 80 bytes each they take 4 KB,
+    // which fits into the receive buffer of any receiver.
     std::size_t recordsPerTable = 48;
 
-    // A member that started less than this long ago asks as one that starts, and tells each one
-    // that it learns of that it is there. Until they know it, the others drop what it says.
-    Duration newcomerTime = std::chrono::seconds(10);
-    std::size_t greetingsPerTick = 64;
+    // A member that started less than this long ago requests tables at the start interval and
+    // announces itself to each member that it discovers. Members that do not know it yet drop
+    // its messages.
+    Duration startupPeriod = std::chrono::seconds(10);
+    std::size_t announcementsPerTick = 64;
 };
 
-// How much membership has done, for metrics and measurements.
+// Counters for metrics and measurements.
 struct MembershipCounts
 {
     std::uint64_t sent = 0;
@@ -117,47 +122,51 @@
     std::uint64_t refutations = 0;
 };
 
-// The view that one instance has of all. Not safe for several threads at once.
+// The membership view of one instance. Not thread-safe.
 class Membership
 {
 public:
-    Membership(const Member &own, const Clock &time, std::uint64_t seed, const KeyRing &fleetKeys,
-               PeerTransport &datagrams, MembershipListener &target,
-               const MembershipOptions &chosen = {});
-
-    // Addresses to try while nobody is known, from settings or from the platform's list. The list
-    // lags, so it only ever suggests whom to ask; it neither adds nor removes anybody.
+    Membership(const Member &own, const Clock &clockSource, std::uint64_t seed,
+               const KeyRing &fleetKeys, PeerTransport &peerTransport,
+               MembershipListener &membershipListener,
+               const MembershipOptions &initialOptions = {});
+
+    // Sets addresses to contact while no member is known, from settings or from the platform's
+    // list. The list may be outdated, so it is only used to choose whom to contact; it neither
+    // adds nor removes members.
     void suggest(std::span<const std::string> addresses);
 
     void receive(std::string_view from, std::string_view datagram);
     void tick();
 
-    // This instance has become ready to serve.
+    // Marks this instance as ready to serve.
     void goLive();
 
-    // This instance takes no new work from now on; spread like any change, a few told at once.
+    // Marks this instance as accepting no new work. The change is gossiped like any other, and
+    // a few peers are notified at once.
     void leave();
 
-    // This instance is about to end; tells everybody, since it will not be there to repeat it.
+    // Notifies all members that this instance is about to end, since it will not be there to
+    // repeat the change.
     void depart();
 
-    // The revision in force here and how long ago it was known to be the newest.
+    // Sets the revision in force and how long ago it was known to be the newest.
     void setConfig(std::uint64_t revision, Duration age);
 
-    // Tells a few peers at once, when a newer revision has come into force here.
+    // Notifies a few peers at once when a newer revision has come into force here.
     void spreadRumour();
 
-    // Sends a message of the placement policy to another instance, or the same to several; lost to
+    // Sends a message of the placement policy to one or several instances. It is dropped for
     // those that are not up.
     void sendPolicy(std::string_view name, std::string message);
     void sendPolicy(std::span<const std::string> names, std::string message);
 
-    const Member &self() const { return this->me; }
+    const Member &self() const { return this->ownMember; }
 
-    // All that are not gone, this instance among them, in order of name.
+    // Returns all members that are not gone, including this instance, ordered by name.
     std::vector<Member> members() const;
 
-    // The member of that name, gone or not; null if none is known.
+    // Returns the member of that name, gone or not; null if it is unknown.
     const Member *find(std::string_view name) const;
 
     const MembershipCounts &counts() const { return this->tally; }
@@ -166,7 +175,7 @@
     struct Known
     {
         Member member;
-        int repeatsLeft = 0; // how often its latest change is still passed on
+        int remainingRepeats = 0; // how many more times its latest change is passed on
     };
 
     struct Probe
@@ -174,61 +183,61 @@
         std::string target;
         std::int64_t sequence = 0;
         TimePoint sentAt;
-        bool helped = false;
+        bool indirect = false;
         bool active = false;
     };
 
-    struct Relay // a probe made for another instance
+    struct Relay // a probe on behalf of another instance
     {
-        std::string askerAddress;
-        std::int64_t askerSequence = 0;
+        std::string requesterAddress;
+        std::int64_t requesterSequence = 0;
     };
 
     using Members = std::map<std::string, Known, std::less<>>;
 
-    wire::PeerMessage makeMessage(int kind, std::int64_t sequence, const Member *about);
-    void addRecords(wire::PeerMessage &message, const Member *about);
+    wire::PeerMessage makeMessage(int kind, std::int64_t sequence, const Member *receiver);
+    void addRecords(wire::PeerMessage &message, const Member *receiver);
     std::string seal(const wire::PeerMessage &message) const;
-    void post(std::string_view address, const wire::PeerMessage &message);
-    void postSealed(std::string_view address, std::string datagram);
+    void sendMessage(std::string_view address, const wire::PeerMessage &message);
+    void sendSealed(std::string_view address, std::string datagram);
     void onPing(std::string_view from, const wire::PeerMessage &message);
     void onPolicy(const wire::PeerMessage &message);
     void onAck(const wire::PeerMessage &message);
     void onPingRequest(std::string_view from, const wire::PeerMessage &message);
 
-    // How far a record has come already: what a table brings others know, and who starts tells all
-    // by itself, so such a record is not passed on as news.
-    enum class Spread { News, Known };
+    // Whether an applied record is passed on by gossip. Records from a table are not: the
+    // others already know them, and a starting member announces itself to all.
+    enum class Propagation { Gossip, None };
 
-    void learn(const wire::MemberRecord &record, Spread spread);
-    void learnOfSelf(const wire::MemberRecord &record);
-    void adopt(Known &known, const wire::MemberRecord &record, Spread spread);
-    void retireSameAddress(const Member &fresh);
-    void changed(Known &known);
-    void tellChanges();
+    void learn(const wire::MemberRecord &record, Propagation propagation);
+    void applyOwnRecord(const wire::MemberRecord &record);
+    void adopt(Known &known, const wire::MemberRecord &record, Propagation propagation);
+    void retireSameAddress(const Member &replacement);
+    void markChanged(Known &known);
+    void notifyListener();
     void refute(std::int32_t version);
 
     std::int64_t tableDigest() const;
-    void askForTable();
-    void onTableAsk(std::string_view from, const wire::PeerMessage &message);
+    void requestTable();
+    void onTableRequest(std::string_view from, const wire::PeerMessage &message);
     void onTable(const wire::PeerMessage &message);
-    bool isNewcomer() const;
-    void greetNewlyKnown();
+    bool isStarting() const;
+    void announceToNewMembers();
 
     void startProbe();
     void checkProbe();
-    void askHelpers();
+    void sendPingRequests();
     void suspect(const std::string &name);
     void checkSuspects();
-    void forgivePause(TimePoint now);
+    void resetTimeoutsAfterPause(TimePoint now);
     void reconnect();
     const Member *memberAt(std::string_view address) const;
-    Known *nextTarget();
+    Known *nextProbeTarget();
     std::vector<const Member *> randomPeers(std::size_t count, std::string_view except);
     Duration suspicionTime() const;
     int repeatCount() const;
 
-    Member me;
+    Member ownMember;
     const Clock &clock;
     std::mt19937_64 random;
     const KeyRing &keys;
@@ -238,18 +247,20 @@
 
     Members others;
     std::vector<std::string> suggestions;
-    std::vector<std::string> ungreeted; // names of members learnt of while this one was new
+    // Discovered members to which this starting member has yet to announce itself.
+    std::vector<std::string> unannounced;
     TimePoint startedAt;
-    TimePoint nextTableAskAt;
-    Duration tablePause;
-    bool tableAgreed = false;  // somebody knew the same since this member started
-    bool askSuggestion = true; // next for the table, rather than a member
-    bool membersDirty = false; // changed since the listener was told
+    TimePoint nextTableRequestAt;
+    Duration tableInterval;
+    bool tableConfirmed = false; // a member had the same table since this member started
+    // Send the next table request to a suggested address rather than to a member.
+    bool useSuggestionNext = true;
+    bool membersDirty = false; // changed since the last call of the listener
     std::vector<std::string> probeOrder;
     std::size_t probeTurn = 0;
     Probe probe;
     std::map<std::int64_t, Relay> relays;
-    std::map<std::int64_t, TimePoint> asked; // sequence of each ping sent lately
+    std::map<std::int64_t, TimePoint> sentPings; // time of each recent ping by sequence number
     std::int64_t nextSequence = 1;
     TimePoint lastTickAt;
     TimePoint nextProbeAt;
--- a/include/jaytrack/Cluster/noticespread.h
+++ b/include/jaytrack/Cluster/noticespread.h
@@ -1,9 +1,9 @@
-// By which way a notice reaches all other instances.
+// Selects the recipients of a notice so that it reaches all other instances.
 //
-// Load that it answers: some fifty generations a second are placed and ended, and each is told to
-// every instance. Sent to each one alone, five of six copies go from one data centre to another:
-// 0.45 GB in 48 s at 195 instances in six data centres, which are priced. One copy goes to each
-// distant data centre, and whoever gets it passes it on to its neighbours.
+// About fifty generations per second are placed and ended, and every instance is notified of each.
+// If each copy were sent directly, five of six would cross data centres: 0.45 GB in 48 s at 195
+// instances in six data centres, and this traffic is charged for. Instead one copy is sent to each
+// distant data centre, where its recipient passes it on to its neighbours.
 #ifndef JAYTRACK_CLUSTER_NOTICESPREAD_H
 #define JAYTRACK_CLUSTER_NOTICESPREAD_H
 
@@ -20,35 +20,36 @@
 class NoticeSpread
 {
 public:
-    // In a data centre of fewer instances than this each one is told directly: a relay would save
-    // little, and its loss would cost many of them the notice.
-    static constexpr std::size_t leastForRelay = 4;
+    // In a data centre with fewer instances, each is notified directly: a relay would save
+    // little, and if it failed, many of them would miss the notice.
+    static constexpr std::size_t minInstancesForRelay = 4;
 
     explicit NoticeSpread(std::string ownDataCentre)
         : dataCentre(std::move(ownDataCentre))
     {
     }
 
-    // The other instances that are up.
+    // Sets the other instances that are up.
     void setPeers(std::span<const Member> others);
 
     struct Ways
     {
-        std::vector<std::string> direct; // names of those that are told for themselves alone
-        std::vector<std::string> relays; // names of those that also pass it on
+        std::vector<std::string> direct; // names of instances that only receive the notice
+        std::vector<std::string> relays; // names of instances that also pass it on
     };
 
-    // The relays are drawn anew for each notice, so that one that is slow or gone costs its data
-    // centre a small part of them until it is noticed.
+    // Selects the recipients of one notice. Relays are chosen at random for each notice, so
+    // that until a slow or failed relay is detected, its data centre misses only a small part
+    // of the notices.
     Ways ways(std::mt19937_64 &random) const;
 
-    // Whom this instance tells what it was asked to pass on.
+    // The instances to which this instance passes on a notice that it relays.
     const std::vector<std::string> &neighbours() const { return this->near; }
 
 private:
     std::string dataCentre;
     std::vector<std::string> near;
-    std::map<std::string, std::vector<std::string>> distant; // by data centre
+    std::map<std::string, std::vector<std::string>> distant; // instance names by data centre
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Cluster/wakefulness.h
+++ b/include/jaytrack/Cluster/wakefulness.h
@@ -1,4 +1,4 @@
-// Notices that this process was stopped and has woken late.
+// Detects that this process was paused and resumed late.
 #ifndef JAYTRACK_CLUSTER_WAKEFULNESS_H
 #define JAYTRACK_CLUSTER_WAKEFULNESS_H
 
@@ -8,36 +8,36 @@
 
 namespace jaytrack {
 
-// A process that was paused wakes up believing what it knew before: targets that left meanwhile,
-// configuration that was replaced, grants that ran out. The sign is a clock that jumped between
-// two ticks. From then on nothing may be sent until fresh knowledge has arrived. The check is made
-// at each send, not by the ticking thread, because on waking any thread may run first.
+// After a pause a process holds outdated state: targets that left meanwhile, configuration that was
+// replaced, grants that expired. A pause shows as a jump of the clock between two ticks. Nothing
+// may be sent after it until fresh state has arrived. The check is made at each send rather than
+// only by the ticking thread, because any thread may run first after the pause.
 class Wakefulness
 {
 public:
-    Wakefulness(const Clock &time, Duration longestPause);
+    Wakefulness(const Clock &clockSource, Duration maxPause);
 
-    // Called at a steady pace, several times within the longest pause.
+    // Called at regular intervals, several times within the maximum pause.
     void tick();
 
-    // Fresh knowledge has arrived: an answer of the configuration service or of a peer, asked for
-    // after the given moment.
-    void refreshed(TimePoint askedAt);
+    // Records fresh state: an answer of the configuration service or of a peer to a request
+    // sent at `requestedAt`.
+    void refreshed(TimePoint requestedAt);
 
-    // Whether this process may act on what it knows.
+    // Whether this process may act on its state.
     bool mayAct() const;
 
-    // How often it woke late.
-    std::uint64_t lateWakings() const { return this->wakings.load(); }
+    // The number of detected pauses.
+    std::uint64_t lateWakings() const { return this->wakeups.load(); }
 
 private:
-    bool jumped(TimePoint now) const;
+    bool clockJumped(TimePoint now) const;
 
     const Clock &clock;
     Duration limit;
     std::atomic<Duration::rep> lastTick;
-    std::atomic<Duration::rep> asleepUntil{0}; // the moment of waking; 0 while awake
-    std::atomic<std::uint64_t> wakings{0};
+    std::atomic<Duration::rep> resumedAt{0}; // time of the resumption; 0 if no pause is pending
+    std::atomic<std::uint64_t> wakeups{0};
 };
 
 } // namespace jaytrack
--- a/lib/Cluster/configspread.cpp
+++ b/lib/Cluster/configspread.cpp
@@ -4,15 +4,16 @@
 
 namespace jaytrack {
 
-ConfigSpread::ConfigSpread(const Clock &time, std::uint64_t seed, DocumentSink &target,
-                           DocumentFetcher &source, const ConfigSpreadOptions &chosen)
-    : clock(time)
+ConfigSpread::ConfigSpread(const Clock &clockSource, std::uint64_t seed, DocumentSink &documentSink,
+                           DocumentFetcher &documentFetcher,
+                           const ConfigSpreadOptions &initialOptions)
+    : clock(clockSource)
     , random(seed)
-    , sink(target)
-    , fetcher(source)
-    , options(chosen)
-    , startedAt(time.now())
-    , confirmedAt(time.now())
+    , sink(documentSink)
+    , fetcher(documentFetcher)
+    , options(initialOptions)
+    , startedAt(clockSource.now())
+    , confirmedAt(clockSource.now())
 {
 }
 
@@ -23,27 +24,27 @@
 }
 
 void ConfigSpread::onPeer(const std::string &peerAddress, std::uint64_t revision, Duration age,
-                          std::optional<TimePoint> askedAt)
+                          std::optional<TimePoint> requestedAt)
 {
     const std::uint64_t own = this->sink.revision();
     if (revision > own) {
-        this->ahead[peerAddress] = revision;
+        this->newerPeers[peerAddress] = revision;
         this->maybeFetch();
         return;
     }
-    this->ahead.erase(peerAddress);
-    if (!askedAt || *askedAt < this->startedAt || own == 0)
+    this->newerPeers.erase(peerAddress);
+    if (!requestedAt || *requestedAt < this->startedAt || own == 0)
         return;
-    this->peerCompared = true;
+    this->comparedWithPeer = true;
     if (revision == own)
-        this->confirm(*askedAt - age);
+        this->confirm(*requestedAt - age);
 }
 
-void ConfigSpread::onService(std::uint64_t revision, TimePoint askedAt)
+void ConfigSpread::onService(std::uint64_t revision, TimePoint requestedAt)
 {
     // A replica that is behind confirms nothing.
     if (revision != 0 && revision == this->sink.revision())
-        this->confirm(askedAt);
+        this->confirm(requestedAt);
 }
 
 void ConfigSpread::onFetched(const std::string &peerAddress, std::uint64_t revision,
@@ -51,7 +52,7 @@
 {
     if (peerAddress == this->fetchingFrom)
         this->fetchingFrom.clear();
-    this->ahead.erase(peerAddress);
+    this->newerPeers.erase(peerAddress);
     if (bytes)
         this->sink.offer(*bytes, revision, "peer");
     this->maybeFetch();
@@ -63,23 +64,23 @@
                       this->clock.now() - this->fetchingSince > this->options.fetchTimeout;
     if (!late)
         return;
-    this->ahead.erase(this->fetchingFrom);
+    this->newerPeers.erase(this->fetchingFrom);
     this->fetchingFrom.clear();
     this->maybeFetch();
 }
 
-// One fetch at a time, from any peer that claims something newer: a peer that turns out to be slow
-// or dead costs one time-out, and the rest of the fleet is not asked for the same bytes.
+// Fetches from one peer at a time, chosen at random among those that report a newer revision. A
+// slow or dead peer costs one time-out, and the other peers are not asked for the same bytes.
 void ConfigSpread::maybeFetch()
 {
     if (!this->fetchingFrom.empty())
         return;
     const std::uint64_t own = this->sink.revision();
-    std::erase_if(this->ahead, [own](const auto &entry) { return entry.second <= own; });
-    if (this->ahead.empty())
+    std::erase_if(this->newerPeers, [own](const auto &entry) { return entry.second <= own; });
+    if (this->newerPeers.empty())
         return;
-    auto pick = this->ahead.begin();
-    std::advance(pick, static_cast<std::ptrdiff_t>(this->random() % this->ahead.size()));
+    auto pick = this->newerPeers.begin();
+    std::advance(pick, static_cast<std::ptrdiff_t>(this->random() % this->newerPeers.size()));
     this->fetchingFrom = pick->first;
     this->fetchingSince = this->clock.now();
     this->fetcher.fetchDocument(this->fetchingFrom);
@@ -94,7 +95,7 @@
 
 bool ConfigSpread::cautious() const
 {
-    return this->age() > this->options.cautiousAfter;
+    return this->age() > this->options.staleAfter;
 }
 
 bool ConfigSpread::mayServe() const
@@ -102,7 +103,7 @@
     if (this->sink.revision() == 0)
         return false;
     const bool waitedEnough = this->clock.now() - this->startedAt > this->options.readyDelay;
-    return this->peerCompared ? this->ahead.empty() : waitedEnough;
+    return this->comparedWithPeer ? this->newerPeers.empty() : waitedEnough;
 }
 
 } // namespace jaytrack
--- a/lib/Cluster/memberrecord.h
+++ b/lib/Cluster/memberrecord.h
@@ -1,4 +1,4 @@
-// A member as it goes over the wire.
+// Converts a member to its wire format.
 #ifndef JAYTRACK_CLUSTER_MEMBERRECORD_H
 #define JAYTRACK_CLUSTER_MEMBERRECORD_H
 
--- a/lib/Cluster/membership.cpp
+++ b/lib/Cluster/membership.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 constexpr std::string_view peerPurpose = "peer";
-constexpr std::size_t askedKept = 256;
-constexpr std::size_t relaysKept = 256;
-constexpr std::int32_t longestAgeMs = 24 * 3600 * 1000;
-constexpr std::size_t largestDatagram = 60'000;
+constexpr std::size_t maxSentPings = 256;
+constexpr std::size_t maxRelays = 256;
+constexpr std::int32_t maxAgeMs = 24 * 3600 * 1000;
+constexpr std::size_t maxDatagramBytes = 60'000;
 
-bool wellFormed(const wire::MemberRecord &record)
+bool isWellFormed(const wire::MemberRecord &record)
 {
     return !record.name.empty() && !record.peerAddress.empty() && record.state >= 0 &&
            record.state <= wire::MemberState::Gone;
 }
 
-// Whether a record says something newer than what is known. A later incarnation is another
-// process and always newer; within one, only the member itself raises the version, and others may
-// only move its state onward.
+// Returns whether a record is newer than the known state. A later incarnation is another process
+// and always newer. Within one incarnation only the member itself raises the version; others may
+// only advance its state.
 bool supersedes(const wire::MemberRecord &record, const Member &known)
 {
     if (record.incarnation != known.incarnation)
@@ -41,32 +41,33 @@
 
 } // namespace
 
-Membership::Membership(const Member &own, const Clock &time, std::uint64_t seed,
-                       const KeyRing &fleetKeys, PeerTransport &datagrams,
-                       MembershipListener &target, const MembershipOptions &chosen)
-    : me(own)
-    , clock(time)
+Membership::Membership(const Member &own, const Clock &clockSource, std::uint64_t seed,
+                       const KeyRing &fleetKeys, PeerTransport &peerTransport,
+                       MembershipListener &membershipListener,
+                       const MembershipOptions &initialOptions)
+    : ownMember(own)
+    , clock(clockSource)
     , random(seed)
     , keys(fleetKeys)
-    , transport(datagrams)
-    , listener(target)
-    , options(chosen)
-    , startedAt(time.now())
-    , nextTableAskAt(time.now())
-    , tablePause(chosen.firstTablePause)
-    , lastTickAt(time.now())
-    , nextProbeAt(time.now())
-    , nextReconnectAt(time.now())
-    , configAgeAt(time.now())
+    , transport(peerTransport)
+    , listener(membershipListener)
+    , options(initialOptions)
+    , startedAt(clockSource.now())
+    , nextTableRequestAt(clockSource.now())
+    , tableInterval(initialOptions.minTableInterval)
+    , lastTickAt(clockSource.now())
+    , nextProbeAt(clockSource.now())
+    , nextReconnectAt(clockSource.now())
+    , configAgeAt(clockSource.now())
 {
-    this->me.changedAt = time.now();
+    this->ownMember.changedAt = clockSource.now();
 }
 
 void Membership::suggest(std::span<const std::string> addresses)
 {
     this->suggestions.clear();
     for (const std::string &address : addresses) {
-        if (!address.empty() && address != this->me.peerAddress)
+        if (!address.empty() && address != this->ownMember.peerAddress)
             this->suggestions.push_back(address);
     }
 }
@@ -74,7 +75,7 @@
 std::vector<Member> Membership::members() const
 {
     std::vector<Member> list;
-    list.push_back(this->me);
+    list.push_back(this->ownMember);
     for (const auto &[name, known] : this->others) {
         if (known.member.isUp())
             list.push_back(known.member);
@@ -86,8 +87,8 @@
 
 const Member *Membership::find(std::string_view name) const
 {
-    if (name == this->me.name)
-        return &this->me;
+    if (name == this->ownMember.name)
+        return &this->ownMember;
     const auto found = this->others.find(name);
     return found == this->others.end() ? nullptr : &found->second.member;
 }
@@ -101,41 +102,42 @@
 
 // ---- Sending ----
 
-wire::PeerMessage Membership::makeMessage(int kind, std::int64_t sequence, const Member *about)
+wire::PeerMessage Membership::makeMessage(int kind, std::int64_t sequence, const Member *receiver)
 {
     wire::PeerMessage message;
     message.kind = static_cast<wire::PeerKind::type>(kind);
     message.sequence = sequence;
-    message.sender = toRecord(this->me);
+    message.sender = toRecord(this->ownMember);
     message.revision = static_cast<std::int64_t>(this->configRevision);
     const Duration age = this->configAge + (this->clock.now() - this->configAgeAt);
     const auto ageMs = std::chrono::duration_cast<std::chrono::milliseconds>(age).count();
-    message.configAgeMs = static_cast<std::int32_t>(std::min<std::int64_t>(ageMs, longestAgeMs));
-    this->addRecords(message, about);
+    message.configAgeMs = static_cast<std::int32_t>(std::min<std::int64_t>(ageMs, maxAgeMs));
+    this->addRecords(message, receiver);
     return message;
 }
 
-// Fresh changes go first; the rest of the room repairs, at random, what got lost. What is thought
-// of the receiver always goes along unless it is good: only so does a member that was wrongly
-// suspected, or comes back after a partition, hear of it and can object.
-void Membership::addRecords(wire::PeerMessage &message, const Member *about)
+// Adds recent changes first and fills the remaining room with random records, to repair lost
+// updates. The receiver's own record is always included unless it is live: this is how a member
+// that was wrongly suspected, or returns after a partition, learns of it and can refute it.
+void Membership::addRecords(wire::PeerMessage &message, const Member *receiver)
 {
-    if (about != nullptr && about->state != MemberState::Live)
-        message.records.push_back(toRecord(*about));
+    if (receiver != nullptr && receiver->state != MemberState::Live)
+        message.records.push_back(toRecord(*receiver));
     std::vector<Known *> fresh;
     std::vector<const Known *> settled;
     for (auto &[name, known] : this->others) {
-        if (known.repeatsLeft > 0)
+        if (known.remainingRepeats > 0)
             fresh.push_back(&known);
         else
             settled.push_back(&known);
     }
-    std::sort(fresh.begin(), fresh.end(),
-              [](const Known *a, const Known *b) { return a->repeatsLeft > b->repeatsLeft; });
+    std::sort(fresh.begin(), fresh.end(), [](const Known *a, const Known *b) {
+        return a->remainingRepeats > b->remainingRepeats;
+    });
     for (Known *known : fresh) {
         if (message.records.size() >= this->options.recordsPerMessage)
             return;
-        --known->repeatsLeft;
+        --known->remainingRepeats;
         message.records.push_back(toRecord(known->member));
     }
     while (!settled.empty() && message.records.size() < this->options.recordsPerMessage) {
@@ -154,12 +156,12 @@
     return encodeMessage(sealed);
 }
 
-void Membership::post(std::string_view address, const wire::PeerMessage &message)
+void Membership::sendMessage(std::string_view address, const wire::PeerMessage &message)
 {
-    this->postSealed(address, this->seal(message));
+    this->sendSealed(address, this->seal(message));
 }
 
-void Membership::postSealed(std::string_view address, std::string datagram)
+void Membership::sendSealed(std::string_view address, std::string datagram)
 {
     ++this->tally.sent;
     this->tally.sentBytes += datagram.size();
@@ -168,36 +170,36 @@
 
 void Membership::goLive()
 {
-    if (this->me.state != MemberState::Joining)
+    if (this->ownMember.state != MemberState::Joining)
         return;
-    this->me.state = MemberState::Live;
-    ++this->me.version;
+    this->ownMember.state = MemberState::Live;
+    ++this->ownMember.version;
     this->spreadRumour();
 }
 
 void Membership::leave()
 {
-    if (this->me.state == MemberState::Leaving)
+    if (this->ownMember.state == MemberState::Leaving)
         return;
-    this->me.state = MemberState::Leaving;
-    ++this->me.version;
+    this->ownMember.state = MemberState::Leaving;
+    ++this->ownMember.version;
     this->spreadRumour();
 }
 
 void Membership::depart()
 {
-    this->me.state = MemberState::Gone;
+    this->ownMember.state = MemberState::Gone;
     for (const Member *peer : this->randomPeers(this->others.size(), "")) {
-        this->post(peer->peerAddress,
-                   this->makeMessage(wire::PeerKind::Rumour, this->nextSequence++, peer));
+        this->sendMessage(peer->peerAddress,
+                          this->makeMessage(wire::PeerKind::Rumour, this->nextSequence++, peer));
     }
 }
 
 void Membership::spreadRumour()
 {
     for (const Member *peer : this->randomPeers(this->options.rumourFanout, "")) {
-        this->post(peer->peerAddress,
-                   this->makeMessage(wire::PeerKind::Rumour, this->nextSequence++, peer));
+        this->sendMessage(peer->peerAddress,
+                          this->makeMessage(wire::PeerKind::Rumour, this->nextSequence++, peer));
     }
 }
 
@@ -207,20 +209,21 @@
     this->sendPolicy(std::span(&only, 1), std::move(message));
 }
 
-// Encoded and signed once: a notice goes to dozens.
+// Encodes and signs the message once, since a notice is sent to dozens of members.
 void Membership::sendPolicy(std::span<const std::string> names, std::string message)
 {
     wire::PeerMessage carrier;
     carrier.kind = wire::PeerKind::Policy;
-    // The receiver knows the rest, or does not know this instance yet and has no use for it.
-    carrier.sender.name = this->me.name;
-    carrier.sender.incarnation = this->me.incarnation;
+    // The receiver already knows the other fields, or doesn't know this instance yet and drops
+    // the message.
+    carrier.sender.name = this->ownMember.name;
+    carrier.sender.incarnation = this->ownMember.incarnation;
     carrier.policy = std::move(message);
     const std::string datagram = this->seal(carrier);
     for (const std::string &name : names) {
         const auto found = this->others.find(name);
         if (found != this->others.end() && found->second.member.isUp())
-            this->postSealed(found->second.member.peerAddress, datagram);
+            this->sendSealed(found->second.member.peerAddress, datagram);
     }
 }
 
@@ -230,10 +233,10 @@
 {
     ++this->tally.received;
     this->tally.receivedBytes += datagram.size();
-    const auto sealed = datagram.size() <= largestDatagram
+    const auto sealed = datagram.size() <= maxDatagramBytes
                                 ? decodeMessage<wire::SealedMessage>(datagram)
                                 : std::nullopt;
-    // Whoever does not hold a key of the fleet could otherwise declare any instance gone.
+    // Without authentication any sender could declare any instance gone.
     if (!sealed || !this->keys.verify(peerPurpose, sealed->body, sealed->mac)) {
         ++this->tally.rejected;
         return;
@@ -243,22 +246,24 @@
         this->onPolicy(*message);
         return;
     }
-    if (!message || !wellFormed(message->sender)) {
+    if (!message || !isWellFormed(message->sender)) {
         ++this->tally.rejected;
         return;
     }
-    if (message->sender.name == this->me.name &&
-        message->sender.incarnation == this->me.incarnation)
+    if (message->sender.name == this->ownMember.name &&
+        message->sender.incarnation == this->ownMember.incarnation)
         return;
-    // Were the tables of a common start passed on as news, 195 records 31 times each, suspicions
-    // and objections would wait behind them for minutes and the living be called gone.
-    const Spread spread = message->kind == wire::PeerKind::Table ? Spread::Known : Spread::News;
-    this->learn(message->sender, spread);
+    // Records of tables are not passed on. After a simultaneous start of 195 instances each of
+    // the 195 records would be repeated 31 times; suspicions and refutations would queue behind
+    // them for minutes, and live members would be declared gone.
+    const Propagation propagation =
+            message->kind == wire::PeerKind::Table ? Propagation::None : Propagation::Gossip;
+    this->learn(message->sender, propagation);
     for (const wire::MemberRecord &record : message->records) {
-        if (wellFormed(record))
-            this->learn(record, spread);
+        if (isWellFormed(record))
+            this->learn(record, propagation);
     }
-    this->tellChanges();
+    this->notifyListener();
     switch (message->kind) {
     case wire::PeerKind::Ping:
         this->onPing(from, *message);
@@ -270,23 +275,25 @@
         this->onPingRequest(from, *message);
         return;
     case wire::PeerKind::Rumour:
-        // Unasked, so it proves nothing about freshness; it may still bring a newer revision.
+        // An unsolicited message proves nothing about freshness, but it may announce a
+        // newer revision.
         if (const Member *sender = this->find(message->sender.name))
             this->listener.onPeerHeard(*sender, static_cast<std::uint64_t>(message->revision),
-                                       std::chrono::milliseconds(longestAgeMs), TimePoint{});
+                                       std::chrono::milliseconds(maxAgeMs), TimePoint{});
         return;
     case wire::PeerKind::TableAsk:
-        this->onTableAsk(from, *message);
+        this->onTableRequest(from, *message);
         return;
     case wire::PeerKind::Table:
         this->onTable(*message);
         return;
     case wire::PeerKind::Policy:
-        return; // taken above
+        return; // handled above
     }
 }
 
-// A message of a former process under the same name would release or ask for what is not its own.
+// Drops messages of a previous process of the same name, which would release or request what
+// belongs to the current one.
 void Membership::onPolicy(const wire::PeerMessage &message)
 {
     const auto known = this->others.find(message.sender.name);
@@ -299,11 +306,11 @@
 void Membership::onPing(std::string_view from, const wire::PeerMessage &message)
 {
     const auto known = this->others.find(message.sender.name);
-    const Member *about = known == this->others.end() ? nullptr : &known->second.member;
-    this->post(from, this->makeMessage(wire::PeerKind::Ack, message.sequence, about));
-    if (about != nullptr && message.revision > static_cast<std::int64_t>(this->configRevision))
-        this->listener.onPeerHeard(*about, static_cast<std::uint64_t>(message.revision),
-                                   std::chrono::milliseconds(longestAgeMs), TimePoint{});
+    const Member *receiver = known == this->others.end() ? nullptr : &known->second.member;
+    this->sendMessage(from, this->makeMessage(wire::PeerKind::Ack, message.sequence, receiver));
+    if (receiver != nullptr && message.revision > static_cast<std::int64_t>(this->configRevision))
+        this->listener.onPeerHeard(*receiver, static_cast<std::uint64_t>(message.revision),
+                                   std::chrono::milliseconds(maxAgeMs), TimePoint{});
 }
 
 void Membership::onAck(const wire::PeerMessage &message)
@@ -314,20 +321,20 @@
         this->relays.erase(relayed);
         const auto known = this->others.find(message.sender.name);
         wire::PeerMessage onward = message;
-        onward.sequence = relay.askerSequence;
+        onward.sequence = relay.requesterSequence;
         if (known != this->others.end())
-            this->post(relay.askerAddress, onward);
+            this->sendMessage(relay.requesterAddress, onward);
     }
-    const auto sent = this->asked.find(message.sequence);
-    if (sent == this->asked.end())
+    const auto sent = this->sentPings.find(message.sequence);
+    if (sent == this->sentPings.end())
         return;
-    const TimePoint askedAt = sent->second;
-    this->asked.erase(sent);
+    const TimePoint requestedAt = sent->second;
+    this->sentPings.erase(sent);
     if (this->probe.active && this->probe.sequence == message.sequence)
         this->probe.active = false;
     if (const Member *sender = this->find(message.sender.name))
         this->listener.onPeerHeard(*sender, static_cast<std::uint64_t>(message.revision),
-                                   std::chrono::milliseconds(message.configAgeMs), askedAt);
+                                   std::chrono::milliseconds(message.configAgeMs), requestedAt);
 }
 
 void Membership::onPingRequest(std::string_view from, const wire::PeerMessage &message)
@@ -337,54 +344,54 @@
         return;
     const std::int64_t sequence = this->nextSequence++;
     this->relays[sequence] = {std::string(from), message.sequence};
-    if (this->relays.size() > relaysKept)
+    if (this->relays.size() > maxRelays)
         this->relays.erase(this->relays.begin());
-    this->post(target->second.member.peerAddress,
-               this->makeMessage(wire::PeerKind::Ping, sequence, &target->second.member));
+    this->sendMessage(target->second.member.peerAddress,
+                      this->makeMessage(wire::PeerKind::Ping, sequence, &target->second.member));
 }
 
 // ---- Learning ----
 
-void Membership::learn(const wire::MemberRecord &record, Spread spread)
+void Membership::learn(const wire::MemberRecord &record, Propagation propagation)
 {
-    if (record.name == this->me.name) {
-        this->learnOfSelf(record);
+    if (record.name == this->ownMember.name) {
+        this->applyOwnRecord(record);
         return;
     }
     const auto found = this->others.find(record.name);
     if (found == this->others.end()) {
-        // News of somebody's end is of no use to those who never knew it.
+        // A member that was never known and is gone is of no interest.
         if (record.state == wire::MemberState::Gone)
             return;
         Known &known = this->others[record.name];
         known.member.name = record.name;
-        if (this->isNewcomer())
-            this->ungreeted.push_back(record.name);
-        this->adopt(known, record, spread);
+        if (this->isStarting())
+            this->unannounced.push_back(record.name);
+        this->adopt(known, record, propagation);
         return;
     }
     if (supersedes(record, found->second.member))
-        this->adopt(found->second, record, spread);
+        this->adopt(found->second, record, propagation);
 }
 
-void Membership::learnOfSelf(const wire::MemberRecord &record)
+void Membership::applyOwnRecord(const wire::MemberRecord &record)
 {
-    if (record.incarnation != this->me.incarnation)
+    if (record.incarnation != this->ownMember.incarnation)
         return;
-    const bool wrong = static_cast<int>(record.state) > static_cast<int>(this->me.state);
-    if (record.version >= this->me.version && wrong)
+    const bool wrong = static_cast<int>(record.state) > static_cast<int>(this->ownMember.state);
+    if (record.version >= this->ownMember.version && wrong)
         this->refute(record.version);
 }
 
-// Only the member itself may raise its version, and so overrule what others say of it.
+// Overrides what others report of this member; only the member itself may raise its version.
 void Membership::refute(std::int32_t version)
 {
-    this->me.version = version + 1;
+    this->ownMember.version = version + 1;
     ++this->tally.refutations;
     this->spreadRumour();
 }
 
-void Membership::adopt(Known &known, const wire::MemberRecord &record, Spread spread)
+void Membership::adopt(Known &known, const wire::MemberRecord &record, Propagation propagation)
 {
     Member &member = known.member;
     member.dataCentre = record.dataCentre;
@@ -393,38 +400,40 @@
     member.incarnation = record.incarnation;
     member.version = record.version;
     member.state = static_cast<MemberState>(record.state);
-    this->changed(known);
-    if (spread == Spread::Known)
-        known.repeatsLeft = 0;
+    this->markChanged(known);
+    if (propagation == Propagation::None)
+        known.remainingRepeats = 0;
     if (member.isUp())
         this->retireSameAddress(member);
 }
 
-// A replacement may take over the address of an instance that vanished under another name. Pings
-// to the old one would be answered by the new one and keep the dead alive.
-void Membership::retireSameAddress(const Member &fresh)
+// Marks older members at the same address as gone. A replacement may take over the address of a
+// failed instance under another name; it would answer the pings to the old member and keep it
+// alive.
+void Membership::retireSameAddress(const Member &replacement)
 {
     for (auto &[name, known] : this->others) {
         Member &other = known.member;
-        const bool replaced = other.isUp() && other.name != fresh.name &&
-                              other.peerAddress == fresh.peerAddress &&
-                              other.incarnation < fresh.incarnation;
+        const bool replaced = other.isUp() && other.name != replacement.name &&
+                              other.peerAddress == replacement.peerAddress &&
+                              other.incarnation < replacement.incarnation;
         if (!replaced)
             continue;
         other.state = MemberState::Gone;
-        this->changed(known);
+        this->markChanged(known);
     }
 }
 
-void Membership::changed(Known &known)
+void Membership::markChanged(Known &known)
 {
     known.member.changedAt = this->clock.now();
-    known.repeatsLeft = this->repeatCount();
+    known.remainingRepeats = this->repeatCount();
     this->membersDirty = true;
 }
 
-// A table brings dozens of changes, and the listener goes through all members at each call.
-void Membership::tellChanges()
+// Calls the listener once for all changes: a table contains dozens, and the listener iterates over
+// all members at each call.
+void Membership::notifyListener()
 {
     if (!this->membersDirty)
         return;
@@ -437,7 +446,7 @@
 void Membership::tick()
 {
     const TimePoint now = this->clock.now();
-    this->forgivePause(now);
+    this->resetTimeoutsAfterPause(now);
     this->checkProbe();
     this->checkSuspects();
     if (now >= this->nextProbeAt) {
@@ -448,20 +457,20 @@
         this->nextReconnectAt = now + this->options.reconnectPeriod;
         this->reconnect();
     }
-    if (now >= this->nextTableAskAt) {
-        this->nextTableAskAt = now + this->tablePause;
-        if (this->tableAgreed || !this->isNewcomer())
-            this->tablePause = std::min(2 * this->tablePause, this->options.longestTablePause);
-        this->askForTable();
+    if (now >= this->nextTableRequestAt) {
+        this->nextTableRequestAt = now + this->tableInterval;
+        if (this->tableConfirmed || !this->isStarting())
+            this->tableInterval = std::min(2 * this->tableInterval, this->options.maxTableInterval);
+        this->requestTable();
     }
-    this->greetNewlyKnown();
-    this->tellChanges();
+    this->announceToNewMembers();
+    this->notifyListener();
 }
 
-// A process that was paused wakes to probes without answers and suspicions that seem to have run
-// out, because its clock went on and its ears did not. Without this it would declare the whole
-// fleet gone at one stroke.
-void Membership::forgivePause(TimePoint now)
+// After a pause of the process probes seem unanswered and suspicions seem to have timed out,
+// because the clock advanced while nothing was received. Without this reset the process would
+// declare the whole fleet gone at once.
+void Membership::resetTimeoutsAfterPause(TimePoint now)
 {
     const bool paused = now - this->lastTickAt > 2 * this->options.probePeriod;
     this->lastTickAt = now;
@@ -474,9 +483,9 @@
     }
 }
 
-// Goes through all members in a random order, drawn anew after each round, so that everybody is
-// probed once a round and nobody is starved.
-Membership::Known *Membership::nextTarget()
+// Iterates over all members in a random order that is reshuffled after each round, so that every
+// member is probed once per round.
+Membership::Known *Membership::nextProbeTarget()
 {
     for (std::size_t tries = 0; tries <= this->others.size() + 1; ++tries) {
         if (this->probeTurn >= this->probeOrder.size()) {
@@ -502,36 +511,38 @@
     if (this->probe.active)
         this->suspect(this->probe.target);
     this->probe.active = false;
-    Known *target = this->nextTarget();
+    Known *target = this->nextProbeTarget();
     if (target == nullptr)
         return;
     const TimePoint now = this->clock.now();
     this->probe = {target->member.name, this->nextSequence++, now, false, true};
-    this->asked[this->probe.sequence] = now;
-    if (this->asked.size() > askedKept)
-        this->asked.erase(this->asked.begin());
-    this->post(target->member.peerAddress,
-               this->makeMessage(wire::PeerKind::Ping, this->probe.sequence, &target->member));
+    this->sentPings[this->probe.sequence] = now;
+    if (this->sentPings.size() > maxSentPings)
+        this->sentPings.erase(this->sentPings.begin());
+    this->sendMessage(
+            target->member.peerAddress,
+            this->makeMessage(wire::PeerKind::Ping, this->probe.sequence, &target->member));
 }
 
 void Membership::checkProbe()
 {
-    if (!this->probe.active || this->probe.helped)
+    if (!this->probe.active || this->probe.indirect)
         return;
-    if (this->clock.now() - this->probe.sentAt < this->options.ackWait)
+    if (this->clock.now() - this->probe.sentAt < this->options.ackTimeout)
         return;
-    this->probe.helped = true;
-    this->askHelpers();
+    this->probe.indirect = true;
+    this->sendPingRequests();
 }
 
-// A link between two may be broken while both are well; others can still reach the target.
-void Membership::askHelpers()
+// The link to the target may be broken while both ends work; other members may still reach it.
+void Membership::sendPingRequests()
 {
-    for (const Member *helper : this->randomPeers(this->options.helpers, this->probe.target)) {
+    for (const Member *helper :
+         this->randomPeers(this->options.indirectProbes, this->probe.target)) {
         wire::PeerMessage message =
                 this->makeMessage(wire::PeerKind::PingRequest, this->probe.sequence, helper);
         message.probeTarget = this->probe.target;
-        this->post(helper->peerAddress, message);
+        this->sendMessage(helper->peerAddress, message);
     }
 }
 
@@ -541,18 +552,18 @@
     if (found == this->others.end())
         return;
     Member &member = found->second.member;
-    // A leaving member keeps its state, or its leaving would be forgotten by a lost datagram; if
-    // it answers no more it is gone, which is where it was going.
+    // A leaving member is not suspected: a suspect counts as accepting work, so one lost
+    // datagram would undo its leaving. If it does not answer, it has ended.
     if (member.state == MemberState::Leaving) {
         member.state = MemberState::Gone;
-        this->changed(found->second);
+        this->markChanged(found->second);
         return;
     }
     if (member.state != MemberState::Live && member.state != MemberState::Joining)
         return;
     member.state = MemberState::Suspect;
     ++this->tally.suspicions;
-    this->changed(found->second);
+    this->markChanged(found->second);
 }
 
 void Membership::checkSuspects()
@@ -563,16 +574,16 @@
         const Duration since = now - known.member.changedAt;
         if (known.member.state == MemberState::Suspect && since > this->suspicionTime()) {
             known.member.state = MemberState::Gone;
-            this->changed(known);
+            this->markChanged(known);
         }
         const bool forgotten =
-                known.member.state == MemberState::Gone && since > this->options.forgetGone;
+                known.member.state == MemberState::Gone && since > this->options.goneRetention;
         it = forgotten ? this->others.erase(it) : std::next(it);
     }
 }
 
-// Two sides of a healed partition hold each other for gone and would never speak again. So one of
-// the gone, and one of the addresses that the platform lists, is tried now and then.
+// After a partition each side considers the other gone and would never contact it again. Therefore
+// a random address out of the gone members and the platform's list is probed periodically.
 void Membership::reconnect()
 {
     std::vector<std::string> candidates = this->suggestions;
@@ -584,13 +595,13 @@
         return;
     const bool alone = std::none_of(this->others.begin(), this->others.end(),
                                     [](const auto &entry) { return entry.second.member.isUp(); });
-    const std::size_t tries = alone ? this->options.helpers : 1;
+    const std::size_t tries = alone ? this->options.indirectProbes : 1;
     for (std::size_t i = 0; i < tries; ++i) {
         const std::string &address = candidates[this->random() % candidates.size()];
         const std::int64_t sequence = this->nextSequence++;
-        this->asked[sequence] = this->clock.now();
-        this->post(address,
-                   this->makeMessage(wire::PeerKind::Ping, sequence, this->memberAt(address)));
+        this->sentPings[sequence] = this->clock.now();
+        this->sendMessage(address, this->makeMessage(wire::PeerKind::Ping, sequence,
+                                                     this->memberAt(address)));
     }
     if (alone)
         this->nextReconnectAt = this->clock.now() + this->options.probePeriod;
@@ -620,7 +631,7 @@
     return peers;
 }
 
-// Longer in a larger fleet, since an objection takes more steps to reach everybody.
+// The time grows with the fleet, since a refutation takes more hops to reach every member.
 Duration Membership::suspicionTime() const
 {
     const double doublings = std::log2(static_cast<double>(this->others.size() + 1));
--- a/lib/Cluster/membershiptable.cpp
+++ b/lib/Cluster/membershiptable.cpp
@@ -1,4 +1,5 @@
-// How a member that starts, or missed something, learns of all others at once.
+// Exchange of full member tables, by which a member that has started or missed updates learns of
+// all others at once.
 #include "jaytrack/Cluster/membership.h"
 
 #include "jaytrack/Support/digest.h"
@@ -9,13 +10,13 @@
 
 namespace jaytrack {
 
-// The members that are up, as one number: the same for all who know the same, in any order.
+// Returns an order-independent digest of the members that are up.
 std::int64_t Membership::tableDigest() const
 {
     const auto digest = [](const Member &member) {
         return placementHash(member.name + "/" + std::to_string(member.incarnation));
     };
-    std::uint64_t all = digest(this->me);
+    std::uint64_t all = digest(this->ownMember);
     for (const auto &[name, known] : this->others) {
         if (known.member.isUp())
             all ^= digest(known.member);
@@ -23,13 +24,13 @@
     return static_cast<std::int64_t>(all);
 }
 
-// Asks one of the suggested addresses and a random member by turns: those that all start with hear
-// of everybody first, and may be down.
-void Membership::askForTable()
+// Sends a table request to a suggested address and to a random member in turn. When all instances
+// start together, the suggested ones learn of all members first, but they may be down.
+void Membership::requestTable()
 {
     const std::vector<const Member *> peers = this->randomPeers(1, "");
-    const bool suggested = !this->suggestions.empty() && (peers.empty() || this->askSuggestion);
-    this->askSuggestion = !suggested;
+    const bool suggested = !this->suggestions.empty() && (peers.empty() || this->useSuggestionNext);
+    this->useSuggestionNext = !suggested;
     if (!suggested && peers.empty())
         return;
     const std::string address =
@@ -38,19 +39,19 @@
     wire::PeerMessage message =
             this->makeMessage(wire::PeerKind::TableAsk, this->nextSequence++, nullptr);
     message.tableDigest = this->tableDigest();
-    this->post(address, message);
+    this->sendMessage(address, message);
 }
 
-void Membership::onTableAsk(std::string_view from, const wire::PeerMessage &message)
+void Membership::onTableRequest(std::string_view from, const wire::PeerMessage &message)
 {
     wire::PeerMessage part;
     part.kind = wire::PeerKind::Table;
-    part.sender = toRecord(this->me);
+    part.sender = toRecord(this->ownMember);
     part.tableDigest = this->tableDigest();
     if (message.tableDigest == part.tableDigest)
-        return this->post(from, part);
+        return this->sendMessage(from, part);
     for (const auto &[name, known] : this->others) {
-        // The asker learns of itself only what it has to object to.
+        // The requester needs its own record only if it has to refute it.
         const bool needless =
                 name == message.sender.name && known.member.state == MemberState::Live;
         if (!known.member.isUp() || needless)
@@ -58,39 +59,41 @@
         part.records.push_back(toRecord(known.member));
         if (part.records.size() < this->options.recordsPerTable)
             continue;
-        this->post(from, part);
+        this->sendMessage(from, part);
         part.records.clear();
     }
     if (!part.records.empty())
-        this->post(from, part);
+        this->sendMessage(from, part);
 }
 
-// A table without records says that its sender knows the same. A greeting has no digest.
+// An empty table means that its sender has the same members. An announcement has no digest.
 void Membership::onTable(const wire::PeerMessage &message)
 {
     if (message.tableDigest != 0 && message.records.empty())
-        this->tableAgreed = true;
+        this->tableConfirmed = true;
 }
 
-bool Membership::isNewcomer() const
+bool Membership::isStarting() const
 {
-    return this->clock.now() - this->startedAt < this->options.newcomerTime;
+    return this->clock.now() - this->startedAt < this->options.startupPeriod;
 }
 
-// Some at a time, so that a start in a large fleet does not fill the link at once.
-void Membership::greetNewlyKnown()
+// Sends a limited number of announcements per tick, so that a start in a large fleet does not
+// saturate the link.
+void Membership::announceToNewMembers()
 {
-    const std::size_t count = std::min(this->ungreeted.size(), this->options.greetingsPerTick);
-    wire::PeerMessage greeting;
-    greeting.kind = wire::PeerKind::Table;
-    greeting.sender = toRecord(this->me);
+    const std::size_t count =
+            std::min(this->unannounced.size(), this->options.announcementsPerTick);
+    wire::PeerMessage announcement;
+    announcement.kind = wire::PeerKind::Table;
+    announcement.sender = toRecord(this->ownMember);
     for (std::size_t i = 0; i < count; ++i) {
-        const Member *member = this->find(this->ungreeted[i]);
+        const Member *member = this->find(this->unannounced[i]);
         if (member != nullptr && member->isUp())
-            this->post(member->peerAddress, greeting);
+            this->sendMessage(member->peerAddress, announcement);
     }
-    this->ungreeted.erase(this->ungreeted.begin(),
-                          this->ungreeted.begin() + static_cast<std::ptrdiff_t>(count));
+    this->unannounced.erase(this->unannounced.begin(),
+                            this->unannounced.begin() + static_cast<std::ptrdiff_t>(count));
 }
 
 } // namespace jaytrack
--- a/lib/Cluster/noticespread.cpp
+++ b/lib/Cluster/noticespread.cpp
@@ -19,7 +19,7 @@
     Ways ways;
     ways.direct = this->near;
     for (const auto &[where, names] : this->distant) {
-        if (names.size() >= leastForRelay)
+        if (names.size() >= minInstancesForRelay)
             ways.relays.push_back(names[random() % names.size()]);
         else
             ways.direct.insert(ways.direct.end(), names.begin(), names.end());
--- a/lib/Cluster/wakefulness.cpp
+++ b/lib/Cluster/wakefulness.cpp
@@ -2,14 +2,14 @@
 
 namespace jaytrack {
 
-Wakefulness::Wakefulness(const Clock &time, Duration longestPause)
-    : clock(time)
-    , limit(longestPause)
-    , lastTick(time.now().time_since_epoch().count())
+Wakefulness::Wakefulness(const Clock &clockSource, Duration maxPause)
+    : clock(clockSource)
+    , limit(maxPause)
+    , lastTick(clockSource.now().time_since_epoch().count())
 {
 }
 
-bool Wakefulness::jumped(TimePoint now) const
+bool Wakefulness::clockJumped(TimePoint now) const
 {
     const TimePoint last{Duration(this->lastTick.load())};
     return now - last > this->limit;
@@ -18,25 +18,25 @@
 void Wakefulness::tick()
 {
     const TimePoint now = this->clock.now();
-    if (this->jumped(now)) {
-        this->asleepUntil.store(now.time_since_epoch().count());
-        this->wakings.fetch_add(1);
+    if (this->clockJumped(now)) {
+        this->resumedAt.store(now.time_since_epoch().count());
+        this->wakeups.fetch_add(1);
     }
     this->lastTick.store(now.time_since_epoch().count());
 }
 
-// An answer to a question from before the waking may be as old as the question, so it does not
+// An answer to a request from before the resumption may be as old as the request, so it does not
 // count as fresh.
-void Wakefulness::refreshed(TimePoint askedAt)
+void Wakefulness::refreshed(TimePoint requestedAt)
 {
-    Duration::rep since = this->asleepUntil.load();
-    if (since != 0 && askedAt.time_since_epoch().count() >= since)
-        this->asleepUntil.compare_exchange_strong(since, 0);
+    Duration::rep since = this->resumedAt.load();
+    if (since != 0 && requestedAt.time_since_epoch().count() >= since)
+        this->resumedAt.compare_exchange_strong(since, 0);
 }
 
 bool Wakefulness::mayAct() const
 {
-    return this->asleepUntil.load() == 0 && !this->jumped(this->clock.now());
+    return this->resumedAt.load() == 0 && !this->clockJumped(this->clock.now());
 }
 
 } // namespace jaytrack
--- a/unittests/Cluster/configspreadtest.cpp
+++ b/unittests/Cluster/configspreadtest.cpp
@@ -8,81 +8,81 @@
 
 namespace {
 
-struct Bench final : DocumentSink, DocumentFetcher
+struct Fixture final : DocumentSink, DocumentFetcher
 {
-    Bench() { this->clock.advance(std::chrono::hours(1)); }
+    Fixture() { this->clock.advance(std::chrono::hours(1)); }
 
     void offer(std::string_view, std::uint64_t offered, std::string_view) override
     {
-        this->held = std::max(this->held, offered);
+        this->currentRevision = std::max(this->currentRevision, offered);
     }
-    std::uint64_t revision() const override { return this->held; }
+    std::uint64_t revision() const override { return this->currentRevision; }
     void fetchDocument(const std::string &peer) override { this->fetched.push_back(peer); }
 
     ManualClock clock;
-    std::uint64_t held = 0;
+    std::uint64_t currentRevision = 0;
     std::vector<std::string> fetched;
 };
 
 } // namespace
 
-// Symptom: a fresh instance serves rules that were replaced. Events: it starts while the service's
-// replica is behind, reads that and is ready. Cause: not comparing with its peers first.
-Test(configspread, freshInstanceWaitsForItsPeers)
+// Guards against a new instance that serves replaced rules: it starts while the service's replica
+// is behind, and becomes ready without comparing its revision with its peers.
+Test(configspread, newInstanceComparesWithPeersFirst)
 {
-    Bench bench;
-    ConfigSpread spread(bench.clock, 1, bench, bench);
-    bench.held = 3;
-    spread.onService(3, bench.clock.now());
+    Fixture fixture;
+    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    fixture.currentRevision = 3;
+    spread.onService(3, fixture.clock.now());
     cr_assert(!spread.mayServe());
-    spread.onPeer("p", 5, Duration(0), bench.clock.now());
-    cr_assert(bench.fetched.size() == 1);
+    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
+    cr_assert(fixture.fetched.size() == 1);
     spread.onFetched("p", 5, "bytes");
-    cr_assert(bench.held == 5);
-    spread.onPeer("p", 5, Duration(0), bench.clock.now());
+    cr_assert(fixture.currentRevision == 5);
+    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
     cr_assert(spread.mayServe());
 }
 
-Test(configspread, servesAloneAfterAWhile)
+Test(configspread, servesWithoutPeersAfterADelay)
 {
-    Bench bench;
-    ConfigSpread spread(bench.clock, 1, bench, bench);
+    Fixture fixture;
+    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
     cr_assert(!spread.mayServe());
-    bench.held = 3;
-    bench.clock.advance(std::chrono::seconds(2));
+    fixture.currentRevision = 3;
+    fixture.clock.advance(std::chrono::seconds(2));
     cr_assert(spread.mayServe());
 }
 
-// Symptom: an instance never receives a revision. Events: the peer it fetches from has died. Cause:
-// waiting for one answer without a bound.
-Test(configspread, turnsToAnotherPeer)
+// Guards against waiting for one peer without a time-out: the instance would never receive a
+// revision if the peer it fetches from has died.
+Test(configspread, fetchesFromAnotherPeerAfterATimeout)
 {
-    Bench bench;
-    ConfigSpread spread(bench.clock, 1, bench, bench);
-    spread.onPeer("dead", 5, Duration(0), bench.clock.now());
-    spread.onPeer("alive", 5, Duration(0), bench.clock.now());
-    cr_assert(bench.fetched.size() == 1);
-    bench.clock.advance(std::chrono::seconds(3));
+    Fixture fixture;
+    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    spread.onPeer("dead", 5, Duration(0), fixture.clock.now());
+    spread.onPeer("alive", 5, Duration(0), fixture.clock.now());
+    cr_assert(fixture.fetched.size() == 1);
+    fixture.clock.advance(std::chrono::seconds(3));
     spread.tick();
-    cr_assert(bench.fetched.size() == 2);
-    cr_assert(bench.fetched[0] != bench.fetched[1]);
+    cr_assert(fixture.fetched.size() == 2);
+    cr_assert(fixture.fetched[0] != fixture.fetched[1]);
 }
 
-// Symptom: a paused instance vouches for its old rules. Events: a stale replica or a peer's unasked
-// word is taken as proof. Cause: confirming without an answer to an own question.
-Test(configspread, onlyAnswersConfirm)
+// Guards against confirming old rules without an answer to an own request. A paused instance would
+// otherwise accept a stale replica or an unsolicited message of a peer as confirmation.
+Test(configspread, onlyAnswersConfirmARevision)
 {
-    Bench bench;
-    ConfigSpread spread(bench.clock, 1, bench, bench);
-    bench.held = 5;
-    bench.clock.advance(std::chrono::seconds(60));
-    spread.onService(4, bench.clock.now());
+    Fixture fixture;
+    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    fixture.currentRevision = 5;
+    fixture.clock.advance(std::chrono::seconds(60));
+    spread.onService(4, fixture.clock.now());
     spread.onPeer("p", 5, Duration(0), std::nullopt);
     cr_assert(spread.cautious());
-    spread.onPeer("p", 5, std::chrono::seconds(30), bench.clock.now());
-    cr_assert(spread.cautious(), "the peer itself has not heard for long");
-    spread.onPeer("p", 5, std::chrono::seconds(1), bench.clock.now());
+    spread.onPeer("p", 5, std::chrono::seconds(30), fixture.clock.now());
+    cr_assert(spread.cautious(), "the peer has not confirmed the revision for 30 s");
+    spread.onPeer("p", 5, std::chrono::seconds(1), fixture.clock.now());
     cr_assert(!spread.cautious());
-    bench.clock.advance(std::chrono::seconds(30));
+    fixture.clock.advance(std::chrono::seconds(30));
     cr_assert(spread.cautious());
 }
--- a/unittests/Cluster/membershiplab.h
+++ b/unittests/Cluster/membershipfixture.h
@@ -1,5 +1,5 @@
-#ifndef JAYTRACK_UNITTESTS_MEMBERSHIPLAB_H
-#define JAYTRACK_UNITTESTS_MEMBERSHIPLAB_H
+#ifndef JAYTRACK_UNITTESTS_MEMBERSHIPFIXTURE_H
+#define JAYTRACK_UNITTESTS_MEMBERSHIPFIXTURE_H
 
 #include "jaytrack/Cluster/membership.h"
 #include "jaytrack/Support/keyring.h"
@@ -16,15 +16,15 @@
 
 using namespace jaytrack;
 
-// Members joined by links that can be cut; datagrams arrive in the next step.
-class MembershipLab
+// Members connected by links that can be cut. Datagrams arrive in the next step.
+class MembershipFixture
 {
 public:
     struct Peer final : PeerTransport, MembershipListener
     {
-        Peer(MembershipLab &owner, const std::string &name, const std::string &address,
+        Peer(MembershipFixture &owner, const std::string &name, const std::string &address,
              std::int64_t incarnation, const KeyRing &keys, std::uint64_t seed = 7)
-            : lab(owner)
+            : fixture(owner)
             , membership(memberOf(name, address, incarnation), owner.clock, seed, keys, *this,
                          *this)
         {
@@ -43,25 +43,25 @@
 
         void send(std::string_view address, std::string datagram) override
         {
-            this->lab.wire.push_back({this->membership.self().peerAddress, std::string(address),
-                                      std::move(datagram)});
+            this->fixture.wire.push_back({this->membership.self().peerAddress, std::string(address),
+                                          std::move(datagram)});
         }
 
-        void onMembersChanged() override { ++this->timesChanged; }
+        void onMembersChanged() override { ++this->changeCalls; }
         void onPeerHeard(const Member &, std::uint64_t revision, Duration, TimePoint) override
         {
-            this->heardRevision = std::max(this->heardRevision, revision);
+            this->latestRevision = std::max(this->latestRevision, revision);
         }
         void onPolicyMessage(std::string_view, std::string_view) override {}
 
-        MembershipLab &lab;
-        std::uint64_t heardRevision = 0;
-        int timesChanged = 0;
+        MembershipFixture &fixture;
+        std::uint64_t latestRevision = 0;
+        int changeCalls = 0;
         bool stopped = false;
         Membership membership;
     };
 
-    MembershipLab() { this->clock.advance(std::chrono::hours(1)); }
+    MembershipFixture() { this->clock.advance(std::chrono::hours(1)); }
 
     Peer &add(const std::string &name, const std::string &address, std::int64_t incarnation = 1)
     {
@@ -92,7 +92,7 @@
         for (const Datagram &datagram : due) {
             if (this->cuts.count({datagram.from, datagram.to}) != 0)
                 continue;
-            // The latest process at an address receives what is sent there.
+            // The latest process at an address receives its datagrams.
             for (auto peer = this->peers.rbegin(); peer != this->peers.rend(); ++peer) {
                 if ((*peer)->membership.self().peerAddress != datagram.to || (*peer)->stopped)
                     continue;
--- a/unittests/Cluster/membershiptest.cpp
+++ b/unittests/Cluster/membershiptest.cpp
@@ -1,4 +1,4 @@
-#include "membershiplab.h"
+#include "membershipfixture.h"
 
 #include "jaytrack/Cluster/wakefulness.h"
 
@@ -6,144 +6,143 @@
 
 using namespace jaytrack;
 
-Test(membership, findsEverybodyFromSeeds)
+Test(membership, discoversAllMembersFromSeeds)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    for (const auto &peer : lab.peers)
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    for (const auto &peer : fixture.peers)
         cr_assert(peer->membership.members().size() == 4);
 }
 
-Test(membership, noticesTheDead)
+Test(membership, detectsFailedMembers)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.peers[3]->stopped = true;
-    lab.run(std::chrono::seconds(12));
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.peers[3]->stopped = true;
+    fixture.run(std::chrono::seconds(12));
     for (int i = 0; i < 3; ++i)
-        cr_assert(lab.peers[static_cast<std::size_t>(i)]->membership.find("d")->state ==
+        cr_assert(fixture.peers[static_cast<std::size_t>(i)]->membership.find("d")->state ==
                   MemberState::Gone);
 }
 
-// Symptom: a healthy instance is called gone. Events: one link between two is cut, all others are
-// well. Cause: judging by direct probes alone.
-Test(membership, probesThroughOthers)
+// Guards against relying on direct probes alone: a healthy instance would be declared gone when
+// only the link to one other instance is cut.
+Test(membership, probesIndirectly)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.cutBothWays("a:1", "b:1");
-    lab.run(std::chrono::seconds(30));
-    cr_assert(lab.peers[0]->membership.find("b")->takesWork());
-    cr_assert(lab.peers[1]->membership.find("a")->takesWork());
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.cutBothWays("a:1", "b:1");
+    fixture.run(std::chrono::seconds(30));
+    cr_assert(fixture.peers[0]->membership.find("b")->takesWork());
+    cr_assert(fixture.peers[1]->membership.find("a")->takesWork());
 }
 
-// Symptom: after a partition two halves of the fleet stay apart for ever. Events: each side has
-// declared the other gone and probes only its own. Cause: the gone are never tried again.
-Test(membership, growsTogetherAfterAPartition)
+// Guards against a permanent split after a partition: each side has declared the other gone and
+// probes only its own members, if gone members are never tried again.
+Test(membership, reconnectsAfterAPartition)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
     for (const char *left : {"a:1", "b:1"}) {
         for (const char *right : {"c:1", "d:1"})
-            lab.cutBothWays(left, right);
+            fixture.cutBothWays(left, right);
     }
-    lab.run(std::chrono::seconds(60));
-    cr_assert(lab.peers[0]->membership.members().size() == 2);
-    lab.cuts.clear();
-    lab.run(std::chrono::seconds(40));
-    for (const auto &peer : lab.peers)
+    fixture.run(std::chrono::seconds(60));
+    cr_assert(fixture.peers[0]->membership.members().size() == 2);
+    fixture.cuts.clear();
+    fixture.run(std::chrono::seconds(40));
+    for (const auto &peer : fixture.peers)
         cr_assert(peer->membership.members().size() == 4);
 }
 
-// Symptom: an instance that was paused declares the whole fleet gone. Events: it wakes with a probe
-// unanswered and its clock far ahead. Cause: counting the time in which it could not listen.
-Test(membership, forgivesItsOwnPause)
+// Guards against counting the time of an own pause: the instance resumes with an unanswered probe
+// and its clock far ahead, and would declare the whole fleet gone.
+Test(membership, keepsMembersAfterItsOwnPause)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.peers[0]->stopped = true;
-    lab.run(std::chrono::seconds(30));
-    lab.peers[0]->stopped = false;
-    lab.peers[0]->membership.tick();
-    cr_assert(lab.peers[0]->membership.members().size() == 4);
-    lab.run(std::chrono::seconds(30));
-    for (const auto &peer : lab.peers)
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.peers[0]->stopped = true;
+    fixture.run(std::chrono::seconds(30));
+    fixture.peers[0]->stopped = false;
+    fixture.peers[0]->membership.tick();
+    cr_assert(fixture.peers[0]->membership.members().size() == 4);
+    fixture.run(std::chrono::seconds(30));
+    for (const auto &peer : fixture.peers)
         cr_assert(peer->membership.members().size() == 4);
 }
 
-// Symptom: a dead instance looks alive for ever. Events: a replacement under another name answers
-// the probes at its address. Cause: taking the address for the instance.
-Test(membership, replacementRetiresTheFormerOne)
+// Guards against identifying an instance by its address: a replacement under another name answers
+// the probes, and the dead instance would look alive indefinitely.
+Test(membership, replacementAtTheSameAddressRetiresTheOldMember)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.peers[2]->stopped = true;
-    lab.add("c2", "c:1", 2);
-    lab.run(std::chrono::seconds(10));
-    cr_assert(lab.peers[0]->membership.find("c")->state == MemberState::Gone);
-    cr_assert(lab.peers[0]->membership.find("c2")->takesWork());
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.peers[2]->stopped = true;
+    fixture.add("c2", "c:1", 2);
+    fixture.run(std::chrono::seconds(10));
+    cr_assert(fixture.peers[0]->membership.find("c")->state == MemberState::Gone);
+    cr_assert(fixture.peers[0]->membership.find("c2")->takesWork());
 }
 
-Test(membership, spreadsLeavingAtOnce)
+Test(membership, announcesLeavingAtOnce)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.peers[1]->membership.leave();
-    lab.run(std::chrono::seconds(2));
-    cr_assert(lab.peers[0]->membership.find("b")->state == MemberState::Leaving);
-    cr_assert(!lab.peers[0]->membership.find("b")->takesWork());
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.peers[1]->membership.leave();
+    fixture.run(std::chrono::seconds(2));
+    cr_assert(fixture.peers[0]->membership.find("b")->state == MemberState::Leaving);
+    cr_assert(!fixture.peers[0]->membership.find("b")->takesWork());
 }
 
-Test(membership, carriesRevisions)
+Test(membership, propagatesRevisions)
 {
-    MembershipLab lab;
+    MembershipFixture fixture;
     for (const char *name : {"a", "b", "c", "d"})
-        lab.add(name, std::string(name) + ":1");
-    lab.run(std::chrono::seconds(5));
-    lab.peers[0]->membership.setConfig(9, Duration(0));
-    lab.run(std::chrono::seconds(3));
+        fixture.add(name, std::string(name) + ":1");
+    fixture.run(std::chrono::seconds(5));
+    fixture.peers[0]->membership.setConfig(9, Duration(0));
+    fixture.run(std::chrono::seconds(3));
     for (std::size_t i = 1; i < 4; ++i)
-        cr_assert(lab.peers[i]->heardRevision == 9);
+        cr_assert(fixture.peers[i]->latestRevision == 9);
 }
 
-// Symptom: anybody on the network can take instances out. Events: a stranger sends a well-formed
-// message that calls one gone. Cause: datagrams without authentication.
-Test(membership, ignoresStrangers)
+// Guards against datagrams without authentication: any host on the network could send a well-formed
+// message that declares an instance gone.
+Test(membership, rejectsUnauthenticatedMessages)
 {
-    MembershipLab lab;
-    lab.add("a", "a:1");
-    lab.add("b", "b:1");
-    lab.run(std::chrono::seconds(5));
+    MembershipFixture fixture;
+    fixture.add("a", "a:1");
+    fixture.add("b", "b:1");
+    fixture.run(std::chrono::seconds(5));
     const KeyRing strange({"another fleet's key"});
-    MembershipLab::Peer stranger(lab, "b", "x:1", 99, strange);
+    MembershipFixture::Peer stranger(fixture, "b", "x:1", 99, strange);
     stranger.membership.suggest(std::vector<std::string>{"a:1"});
     stranger.membership.tick();
-    lab.deliver();
-    cr_assert(lab.peers[0]->membership.counts().rejected > 0);
-    cr_assert(lab.peers[0]->membership.find("b")->peerAddress == "b:1");
-    lab.peers[0]->membership.receive("x:1", "no message at all");
-    lab.peers[0]->membership.receive("x:1", "");
-    cr_assert(lab.peers[0]->membership.counts().rejected >= 3);
+    fixture.deliver();
+    cr_assert(fixture.peers[0]->membership.counts().rejected > 0);
+    cr_assert(fixture.peers[0]->membership.find("b")->peerAddress == "b:1");
+    fixture.peers[0]->membership.receive("x:1", "no message at all");
+    fixture.peers[0]->membership.receive("x:1", "");
+    cr_assert(fixture.peers[0]->membership.counts().rejected >= 3);
 }
 
-// Symptom: a payment goes to a target that left while the process was stopped. Events: the process
-// wakes and the thread of a request runs before the one that keeps time. Cause: leaving it to the
-// timer to notice the pause.
-Test(wakefulness, noticesBeforeItsOwnTick)
+// Guards against leaving the detection of a pause to the timer: after the pause a request's thread
+// may run before the ticking thread, and would send a payment to a target that left meanwhile.
+Test(wakefulness, detectsAPauseBeforeTheNextTick)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
@@ -156,7 +155,7 @@
     wakefulness.tick();
     cr_assert(!wakefulness.mayAct());
     wakefulness.refreshed(beforePause);
-    cr_assert(!wakefulness.mayAct(), "an answer to an old question is old");
+    cr_assert(!wakefulness.mayAct(), "an answer to a request from before the pause is not fresh");
     wakefulness.refreshed(clock.now());
     cr_assert(wakefulness.mayAct());
     cr_assert(wakefulness.lateWakings() == 1);
--- a/unittests/Cluster/noticespreadtest.cpp
+++ b/unittests/Cluster/noticespreadtest.cpp
@@ -13,7 +13,7 @@
 {
     int dataCentres;
     int instancesInEach;
-    std::size_t mostBetweenDataCentres; // copies of one notice
+    std::size_t maxBetweenDataCentres; // copies of one notice
 };
 
 std::vector<Member> fleetOf(const SpreadCase &size)
@@ -30,7 +30,7 @@
     return fleet;
 }
 
-std::vector<Member> othersThan(const std::vector<Member> &fleet, std::string_view name)
+std::vector<Member> fleetWithout(const std::vector<Member> &fleet, std::string_view name)
 {
     std::vector<Member> others;
     for (const Member &member : fleet) {
@@ -47,47 +47,48 @@
 
 } // namespace
 
-ParameterizedTestParameters(noticeSpread, reachesAllOverFewDistantWays)
+ParameterizedTestParameters(noticeSpread, reachesAllWithFewDistantCopies)
 {
     static SpreadCase cases[] = {{3, 3, 6}, {4, 18, 3}, {6, 32, 5}, {7, 48, 6}};
     return cr_make_param_array(SpreadCase, cases, std::size(cases));
 }
 
-// Symptom: bytes between data centres grow with the square of the fleet. Events: 195 instances tell
-// each other of fifty placements a second. Cause: one copy for each instance of a distant data
-// centre.
-ParameterizedTest(SpreadCase *size, noticeSpread, reachesAllOverFewDistantWays)
+// Guards against sending one copy to each instance of a distant data centre. With 195 instances
+// that notify each other of fifty placements per second, the traffic between data centres would
+// grow with the square of the fleet size.
+ParameterizedTest(SpreadCase *size, noticeSpread, reachesAllWithFewDistantCopies)
 {
     const std::vector<Member> fleet = fleetOf(*size);
     std::mt19937_64 random(1);
     NoticeSpread sender("dc0");
-    sender.setPeers(othersThan(fleet, "i0-0"));
+    sender.setPeers(fleetWithout(fleet, "i0-0"));
     const NoticeSpread::Ways ways = sender.ways(random);
-    std::multiset<std::string> told(ways.direct.begin(), ways.direct.end());
+    std::multiset<std::string> received(ways.direct.begin(), ways.direct.end());
     std::size_t distant = 0;
     for (const std::string &name : ways.direct)
         distant += dataCentreOf(name) != "dc0" ? 1 : 0;
     for (const std::string &name : ways.relays) {
         ++distant;
-        told.insert(name);
+        received.insert(name);
         NoticeSpread relay(dataCentreOf(name));
-        relay.setPeers(othersThan(fleet, name));
+        relay.setPeers(fleetWithout(fleet, name));
         for (const std::string &neighbour : relay.neighbours())
-            told.insert(neighbour);
+            received.insert(neighbour);
     }
-    for (const Member &member : othersThan(fleet, "i0-0"))
-        cr_assert(told.count(member.name) == 1, "%s is told once", member.name.c_str());
-    cr_assert(distant <= size->mostBetweenDataCentres, "%zu copies", distant);
+    for (const Member &member : fleetWithout(fleet, "i0-0"))
+        cr_assert(received.count(member.name) == 1, "%s receives the notice once",
+                  member.name.c_str());
+    cr_assert(distant <= size->maxBetweenDataCentres, "%zu copies", distant);
 }
 
-// Symptom: a data centre hears nothing while one of its instances is frozen. Cause: the same relay
-// for every notice.
-Test(noticeSpread, relaysAreDrawnAnew)
+// Guards against using the same relay for every notice: a data centre would receive no notices
+// while that instance is frozen.
+Test(noticeSpread, relaysAreChosenPerNotice)
 {
     const std::vector<Member> fleet = fleetOf({2, 32, 0});
     std::mt19937_64 random(1);
     NoticeSpread sender("dc0");
-    sender.setPeers(othersThan(fleet, "i0-0"));
+    sender.setPeers(fleetWithout(fleet, "i0-0"));
     std::set<std::string> relays;
     for (int i = 0; i < 200; ++i) {
         const NoticeSpread::Ways ways = sender.ways(random);
