--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -51,7 +51,7 @@
 std::vector<NamedPolicy> variants()
 {
     FleetPolicyOptions alone;
-    alone.askHomes = false;
+    alone.useHomes = false;
     FleetPolicyOptions noForecast;
     noForecast.home.forecast = false;
     FleetPolicyOptions noShares;
--- a/bench/policy/stage.cpp
+++ b/bench/policy/stage.cpp
@@ -38,7 +38,7 @@
 
 struct Request
 {
-    GenerationAsk ask;
+    GenerationRequest ask;
     std::size_t instance = 0;
     std::size_t customer = 0;
     std::size_t kind = 0;
@@ -220,7 +220,7 @@
     request.arrivedAt = this->schedule.clock.now();
     request.lastAt = request.arrivedAt;
     request.measured = at >= 0;
-    GenerationAsk &ask = request.ask;
+    GenerationRequest &ask = request.ask;
     ask.model = "model";
     ask.customer = customer.name;
     ask.weight = customer.weight;
@@ -251,7 +251,7 @@
 
 void Stage::submit(std::uint64_t id)
 {
-    const GenerationAsk ask = this->requests.at(id).ask;
+    const GenerationRequest ask = this->requests.at(id).ask;
     Node &node = *this->nodes[this->requests.at(id).instance];
     const auto before = std::chrono::steady_clock::now();
     node.policy->submit(ask);
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -211,7 +211,7 @@
     static constexpr int times = 20'000;
     const double before = cpuSeconds();
     for (int i = 1; i <= times; ++i) {
-        GenerationAsk ask;
+        GenerationRequest ask;
         ask.id = static_cast<std::uint64_t>(i);
         ask.model = "model-" + std::to_string(i % 4);
         ask.customer = "customer-" + std::to_string(static_cast<std::size_t>(i) % customers);
@@ -249,7 +249,7 @@
             specs.push_back({"engine-" + std::to_string(i), "model", "dc", 64, 200'000, false});
         policy.setEngines(specs);
         for (std::uint64_t id = 1; id <= 32 * engines; ++id) {
-            GenerationAsk ask;
+            GenerationRequest ask;
             ask.id = id;
             ask.model = "model";
             ask.customer = "customer";
--- a/include/jaytrack/Cluster/configspread.h
+++ b/include/jaytrack/Cluster/configpropagation.h
@@ -1,7 +1,7 @@
 // Propagates configuration revisions between instances, whichever instance reads a revision first,
 // and tracks whether the local revision may be outdated.
-#ifndef JAYTRACK_CLUSTER_CONFIGSPREAD_H
-#define JAYTRACK_CLUSTER_CONFIGSPREAD_H
+#ifndef JAYTRACK_CLUSTER_CONFIGPROPAGATION_H
+#define JAYTRACK_CLUSTER_CONFIGPROPAGATION_H
 
 #include "jaytrack/Support/clock.h"
 
@@ -34,7 +34,7 @@
     virtual void fetchDocument(const std::string &peerAddress) = 0;
 };
 
-struct ConfigSpreadOptions
+struct ConfigPropagationOptions
 {
     Duration fetchTimeout = std::chrono::seconds(2);
     // Time to wait for answers of peers after the start.
@@ -44,11 +44,12 @@
 
 // Fetches newer revisions from peers and records when the revision in force was last confirmed. Not
 // thread-safe.
-class ConfigSpread
+class ConfigPropagation
 {
 public:
-    ConfigSpread(const Clock &clockSource, std::uint64_t seed, DocumentSink &documentSink,
-                 DocumentFetcher &documentFetcher, const ConfigSpreadOptions &initialOptions = {});
+    ConfigPropagation(const Clock &clockSource, std::uint64_t seed, DocumentSink &documentSink,
+                      DocumentFetcher &documentFetcher,
+                      const ConfigPropagationOptions &initialOptions = {});
 
     // Handles the revision that a peer has in force. `age` is how long ago the peer knew it to
     // be the newest. `requestedAt` is when the request was sent that the peer answered, or empty
@@ -72,7 +73,7 @@
     // Whether the rules in force may have been replaced without this instance knowing. The
     // instance then continues to serve, but does not retry anything that a newer rule might
     // forbid to retry.
-    bool cautious() const;
+    bool mayBeStale() const;
 
     // Whether this instance has compared its revision with enough peers since its start to
     // serve. Otherwise an instance started from a stale replica would serve with rules that the
@@ -87,7 +88,7 @@
     std::mt19937_64 random;
     DocumentSink &sink;
     DocumentFetcher &fetcher;
-    ConfigSpreadOptions options;
+    ConfigPropagationOptions options;
     TimePoint startedAt;
     TimePoint confirmedAt;
     bool everConfirmed = false;
--- a/include/jaytrack/Cluster/membership.h
+++ b/include/jaytrack/Cluster/membership.h
@@ -44,7 +44,7 @@
     TimePoint changedAt;
 
     bool isUp() const { return this->state != MemberState::Gone; }
-    bool takesWork() const
+    bool acceptsWork() const
     {
         return this->state == MemberState::Live || this->state == MemberState::Suspect;
     }
@@ -70,8 +70,8 @@
 
     // A peer answered a request sent at `requestedAt` and has this revision in force, which was
     // confirmed with the service `configAge` ago.
-    virtual void onPeerHeard(const Member &peer, std::uint64_t revision, Duration configAge,
-                             TimePoint requestedAt) = 0;
+    virtual void onPeerRevision(const Member &peer, std::uint64_t revision, Duration configAge,
+                                TimePoint requestedAt) = 0;
 
     // The placement policy of another instance sent this message.
     virtual void onPolicyMessage(std::string_view from, std::string_view message) = 0;
--- a/include/jaytrack/Cluster/noticespread.h
+++ b/include/jaytrack/Cluster/noticefanout.h
@@ -4,8 +4,8 @@
 // If each copy were sent directly, five of six would cross data centres: 0.45 GB in 48 s at 195
 // instances in six data centres, and this traffic is charged for. Instead one copy is sent to each
 // distant data centre, where its recipient passes it on to its neighbours.
-#ifndef JAYTRACK_CLUSTER_NOTICESPREAD_H
-#define JAYTRACK_CLUSTER_NOTICESPREAD_H
+#ifndef JAYTRACK_CLUSTER_NOTICEFANOUT_H
+#define JAYTRACK_CLUSTER_NOTICEFANOUT_H
 
 #include "jaytrack/Cluster/membership.h"
 
@@ -17,14 +17,14 @@
 
 namespace jaytrack {
 
-class NoticeSpread
+class NoticeFanout
 {
 public:
     // In a data centre with fewer instances, each is notified directly: a relay would save
     // little, and if it failed, many of them would miss the notice.
     static constexpr std::size_t minInstancesForRelay = 4;
 
-    explicit NoticeSpread(std::string ownDataCentre)
+    explicit NoticeFanout(std::string ownDataCentre)
         : dataCentre(std::move(ownDataCentre))
     {
     }
@@ -32,7 +32,7 @@
     // Sets the other instances that are up.
     void setPeers(std::span<const Member> others);
 
-    struct Ways
+    struct Recipients
     {
         std::vector<std::string> direct; // names of instances that only receive the notice
         std::vector<std::string> relays; // names of instances that also pass it on
@@ -41,7 +41,7 @@
     // Selects the recipients of one notice. Relays are chosen at random for each notice, so
     // that until a slow or failed relay is detected, its data centre misses only a small part
     // of the notices.
-    Ways ways(std::mt19937_64 &random) const;
+    Recipients recipients(std::mt19937_64 &random) const;
 
     // The instances to which this instance passes on a notice that it relays.
     const std::vector<std::string> &neighbours() const { return this->near; }
--- a/include/jaytrack/Cluster/wakefulness.h
+++ b/include/jaytrack/Cluster/pausedetector.h
@@ -1,6 +1,6 @@
 // Detects that this process was paused and resumed late.
-#ifndef JAYTRACK_CLUSTER_WAKEFULNESS_H
-#define JAYTRACK_CLUSTER_WAKEFULNESS_H
+#ifndef JAYTRACK_CLUSTER_PAUSEDETECTOR_H
+#define JAYTRACK_CLUSTER_PAUSEDETECTOR_H
 
 #include "jaytrack/Support/clock.h"
 
@@ -12,10 +12,10 @@
 // replaced, grants that expired. A pause shows as a jump of the clock between two ticks. Nothing
 // may be sent after it until fresh state has arrived. The check is made at each send rather than
 // only by the ticking thread, because any thread may run first after the pause.
-class Wakefulness
+class PauseDetector
 {
 public:
-    Wakefulness(const Clock &clockSource, Duration maxPause);
+    PauseDetector(const Clock &clockSource, Duration maxPause);
 
     // Called at regular intervals, several times within the maximum pause.
     void tick();
@@ -28,7 +28,7 @@
     bool mayAct() const;
 
     // The number of detected pauses.
-    std::uint64_t lateWakings() const { return this->wakeups.load(); }
+    std::uint64_t detectedPauses() const { return this->wakeups.load(); }
 
 private:
     bool clockJumped(TimePoint now) const;
--- a/include/jaytrack/Policy/enginehome.h
+++ b/include/jaytrack/Policy/enginehome.h
@@ -73,7 +73,7 @@
     // Removes and returns the requests whose deadline has passed.
     std::vector<RoomRequest> expire();
 
-    bool takesWork() const;
+    bool acceptsWork() const;
     bool isAlive() const { return this->lastReport.alive; }
     bool isLeaving() const { return this->spec.leaving || this->lastReport.leaving; }
     bool isWaiting(const GrantKey &key) const;
--- a/include/jaytrack/Policy/fleetpolicy.h
+++ b/include/jaytrack/Policy/fleetpolicy.h
@@ -27,7 +27,7 @@
 struct FleetPolicyOptions
 {
     EngineHomeOptions home;
-    bool askHomes = true; // otherwise each instance decides alone by the summaries it has received
+    bool useHomes = true; // otherwise each instance decides alone by the summaries it has received
     bool affinity = true; // prefer the engine that probably caches the prompt's prefix
     std::size_t subset = 24;    // maximum number of engines of a model that one instance uses
     std::size_t candidates = 4; // random engines compared for each request
@@ -62,7 +62,7 @@
 
     void setEngines(std::span<const EngineSpec> engines) override;
     void setInstances(std::span<const std::string> names) override;
-    void submit(const GenerationAsk &ask) override;
+    void submit(const GenerationRequest &ask) override;
     void withdraw(std::uint64_t id) override;
     void progress(std::uint64_t id, std::uint32_t producedTokens) override;
     void departed(std::uint64_t id, Departure how, std::uint32_t producedTokens) override;
@@ -98,7 +98,7 @@
 
     struct RequestState
     {
-        GenerationAsk ask;
+        GenerationRequest ask;
         RequestPhase phase = RequestPhase::Requesting;
         // Engine that room was last requested on, or that the generation is placed on.
         std::string engine;
--- a/include/jaytrack/Policy/placement.h
+++ b/include/jaytrack/Policy/placement.h
@@ -38,7 +38,7 @@
 };
 
 // A request to place one generation on an engine.
-struct GenerationAsk
+struct GenerationRequest
 {
     std::uint64_t id = 0;
     std::string model;
@@ -91,7 +91,7 @@
     virtual void setInstances(std::span<const std::string> names) = 0;
 
     // Requests an engine. The listener is called exactly once, during this call or later.
-    virtual void submit(const GenerationAsk &ask) = 0;
+    virtual void submit(const GenerationRequest &ask) = 0;
 
     // Cancels a request that is not yet placed. The listener is not called for it afterwards.
     virtual void withdraw(std::uint64_t id) = 0;
--- a/include/jaytrack/Policy/targetpauses.h
+++ b/include/jaytrack/Policy/targetpauses.h
@@ -25,12 +25,12 @@
     // Pauses requests to a target for the given time. The name identifies one life of the
     // target; after a restart no pause applies. A shorter pause never ends a longer one, since
     // answers may arrive out of order.
-    void leaveAlone(std::string_view target, Duration time);
+    void pause(std::string_view target, Duration time);
 
     // Returns the remaining time of the pause; zero if the target is not paused.
-    Duration left(std::string_view target) const;
+    Duration remaining(std::string_view target) const;
 
-    bool isPaused(std::string_view target) const { return this->left(target) > Duration(0); }
+    bool isPaused(std::string_view target) const { return this->remaining(target) > Duration(0); }
 
 private:
     const Clock &clock;
--- a/include/jaytrack/Proxy/peerlink.h
+++ b/include/jaytrack/Proxy/peerlink.h
@@ -9,7 +9,7 @@
 #define JAYTRACK_PROXY_PEERLINK_H
 
 #include "jaytrack/Cluster/membership.h"
-#include "jaytrack/Cluster/noticespread.h"
+#include "jaytrack/Cluster/noticefanout.h"
 #include "jaytrack/Limits/limitnews.h"
 #include "jaytrack/Proxy/datagrampacer.h"
 #include "jaytrack/Quarantine/quarantinenews.h"
@@ -133,7 +133,7 @@
     void takeMembers();
     void sendNow(std::string_view address, const std::string &datagram);
     void sendPaced();
-    void onPeerHeard(const Member &, std::uint64_t, Duration, TimePoint) override {}
+    void onPeerRevision(const Member &, std::uint64_t, Duration, TimePoint) override {}
     void onPolicyMessage(std::string_view from, std::string_view message) override;
     void tellPeers(wire::EntryNotices &message);
     void tellDrawn(const wire::EntryNotices &message);
@@ -155,7 +155,7 @@
     std::array<char, 8192> buffer{};
     Membership membership;
     bool membersChanged = false; // since they were taken
-    NoticeSpread spread;
+    NoticeFanout spread;
     std::mt19937_64 random;
     std::vector<std::string> peers; // names of the others that are up
     EngineShares &shares;
--- a/include/jaytrack/Serve/context.h
+++ b/include/jaytrack/Serve/context.h
@@ -22,7 +22,7 @@
 class LimitGate;
 class Metrics;
 class PlacementDesk;
-class Wakefulness;
+class PauseDetector;
 struct Settings;
 
 // Where another instance answers callers.
@@ -51,7 +51,7 @@
     const KeyRing &keys;
     HttpClient &targets;
     PlacementDesk &placement;
-    Wakefulness &wakefulness;
+    PauseDetector &wakefulness;
     PeerDirectory &peers;
     CrashWatch &crashes;
     LimitGate &limits;
--- a/include/jaytrack/Serve/generationcall.h
+++ b/include/jaytrack/Serve/generationcall.h
@@ -29,7 +29,7 @@
 // What a caller asked for.
 struct GenerationOrder
 {
-    GenerationAsk ask;
+    GenerationRequest ask;
     std::string path; // the OpenAI path, the same at the engine
     std::string body; // JSON with streaming switched on
     bool wantsStream = true;
--- a/include/jaytrack/Serve/operatordesk.h
+++ b/include/jaytrack/Serve/operatordesk.h
@@ -14,7 +14,7 @@
 class Gateway;
 class Metrics;
 class PeerNode;
-class Wakefulness;
+class PauseDetector;
 
 // The parts that it looks at.
 struct OperatorView
@@ -24,7 +24,7 @@
     PeerNode &peers;
     DocumentStore &documents;
     Metrics &metrics;
-    Wakefulness &wakefulness;
+    PauseDetector &wakefulness;
     std::function<void()> drain;
 };
 
--- a/include/jaytrack/Serve/peernode.h
+++ b/include/jaytrack/Serve/peernode.h
@@ -3,7 +3,7 @@
 #ifndef JAYTRACK_SERVE_PEERNODE_H
 #define JAYTRACK_SERVE_PEERNODE_H
 
-#include "jaytrack/Cluster/configspread.h"
+#include "jaytrack/Cluster/configpropagation.h"
 #include "jaytrack/Cluster/membership.h"
 #include "jaytrack/Http/server.h"
 #include "jaytrack/Serve/context.h"
@@ -87,8 +87,8 @@
 
     void send(std::string_view address, std::string datagram) override;
     void onMembersChanged() override { this->membersDirty = true; }
-    void onPeerHeard(const Member &peer, std::uint64_t revision, Duration age,
-                     TimePoint askedAt) override;
+    void onPeerRevision(const Member &peer, std::uint64_t revision, Duration age,
+                        TimePoint askedAt) override;
     void onPolicyMessage(std::string_view from, std::string_view message) override;
     void offer(std::string_view bytes, std::uint64_t revision, std::string_view source) override;
     std::uint64_t revision() const override;
@@ -107,7 +107,7 @@
     std::int64_t ownIncarnation;
     std::mutex mutex; // guards membership and spread
     std::unique_ptr<Membership> membership;
-    std::unique_ptr<ConfigSpread> spread;
+    std::unique_ptr<ConfigPropagation> spread;
     bool membersDirty = true;
     std::vector<std::pair<std::string, std::string>> policyMessages;
     std::vector<std::string> toFetch;
--- a/include/jaytrack/Serve/placementdesk.h
+++ b/include/jaytrack/Serve/placementdesk.h
@@ -24,7 +24,7 @@
     PlacementDesk(const MakePolicy &make, Post postStep);
 
     // Asks for an engine; the function is called once, from this or another thread.
-    void submit(const GenerationAsk &ask, Placed placed);
+    void submit(const GenerationRequest &ask, Placed placed);
     void withdraw(std::uint64_t id);
 
     // Runs a function on the policy under the lock.
--- a/lib/Cluster/configspread.cpp
+++ b/lib/Cluster/configpropagation.cpp
@@ -1,12 +1,12 @@
-#include "jaytrack/Cluster/configspread.h"
+#include "jaytrack/Cluster/configpropagation.h"
 
 #include <algorithm>
 
 namespace jaytrack {
 
-ConfigSpread::ConfigSpread(const Clock &clockSource, std::uint64_t seed, DocumentSink &documentSink,
-                           DocumentFetcher &documentFetcher,
-                           const ConfigSpreadOptions &initialOptions)
+ConfigPropagation::ConfigPropagation(const Clock &clockSource, std::uint64_t seed,
+                                     DocumentSink &documentSink, DocumentFetcher &documentFetcher,
+                                     const ConfigPropagationOptions &initialOptions)
     : clock(clockSource)
     , random(seed)
     , sink(documentSink)
@@ -17,14 +17,14 @@
 {
 }
 
-void ConfigSpread::confirm(TimePoint at)
+void ConfigPropagation::confirm(TimePoint at)
 {
     this->confirmedAt = this->everConfirmed ? std::max(this->confirmedAt, at) : at;
     this->everConfirmed = true;
 }
 
-void ConfigSpread::onPeer(const std::string &peerAddress, std::uint64_t revision, Duration age,
-                          std::optional<TimePoint> requestedAt)
+void ConfigPropagation::onPeer(const std::string &peerAddress, std::uint64_t revision, Duration age,
+                               std::optional<TimePoint> requestedAt)
 {
     const std::uint64_t own = this->sink.revision();
     if (revision > own) {
@@ -40,15 +40,15 @@
         this->confirm(*requestedAt - age);
 }
 
-void ConfigSpread::onService(std::uint64_t revision, TimePoint requestedAt)
+void ConfigPropagation::onService(std::uint64_t revision, TimePoint requestedAt)
 {
     // A replica that is behind confirms nothing.
     if (revision != 0 && revision == this->sink.revision())
         this->confirm(requestedAt);
 }
 
-void ConfigSpread::onFetched(const std::string &peerAddress, std::uint64_t revision,
-                             const std::optional<std::string> &bytes)
+void ConfigPropagation::onFetched(const std::string &peerAddress, std::uint64_t revision,
+                                  const std::optional<std::string> &bytes)
 {
     if (peerAddress == this->fetchingFrom)
         this->fetchingFrom.clear();
@@ -58,7 +58,7 @@
     this->maybeFetch();
 }
 
-void ConfigSpread::tick()
+void ConfigPropagation::tick()
 {
     const bool late = !this->fetchingFrom.empty() &&
                       this->clock.now() - this->fetchingSince > this->options.fetchTimeout;
@@ -71,7 +71,7 @@
 
 // Fetches from one peer at a time, chosen at random among those that report a newer revision. A
 // slow or dead peer costs one time-out, and the other peers are not asked for the same bytes.
-void ConfigSpread::maybeFetch()
+void ConfigPropagation::maybeFetch()
 {
     if (!this->fetchingFrom.empty())
         return;
@@ -86,19 +86,19 @@
     this->fetcher.fetchDocument(this->fetchingFrom);
 }
 
-Duration ConfigSpread::age() const
+Duration ConfigPropagation::age() const
 {
     if (!this->everConfirmed)
         return std::chrono::hours(24);
     return this->clock.now() - this->confirmedAt;
 }
 
-bool ConfigSpread::cautious() const
+bool ConfigPropagation::mayBeStale() const
 {
     return this->age() > this->options.staleAfter;
 }
 
-bool ConfigSpread::mayServe() const
+bool ConfigPropagation::mayServe() const
 {
     if (this->sink.revision() == 0)
         return false;
--- a/lib/Cluster/membership.cpp
+++ b/lib/Cluster/membership.cpp
@@ -278,8 +278,8 @@
         // An unsolicited message proves nothing about freshness, but it may announce a
         // newer revision.
         if (const Member *sender = this->find(message->sender.name))
-            this->listener.onPeerHeard(*sender, static_cast<std::uint64_t>(message->revision),
-                                       std::chrono::milliseconds(maxAgeMs), TimePoint{});
+            this->listener.onPeerRevision(*sender, static_cast<std::uint64_t>(message->revision),
+                                          std::chrono::milliseconds(maxAgeMs), TimePoint{});
         return;
     case wire::PeerKind::TableAsk:
         this->onTableRequest(from, *message);
@@ -309,8 +309,8 @@
     const Member *receiver = known == this->others.end() ? nullptr : &known->second.member;
     this->sendMessage(from, this->makeMessage(wire::PeerKind::Ack, message.sequence, receiver));
     if (receiver != nullptr && message.revision > static_cast<std::int64_t>(this->configRevision))
-        this->listener.onPeerHeard(*receiver, static_cast<std::uint64_t>(message.revision),
-                                   std::chrono::milliseconds(maxAgeMs), TimePoint{});
+        this->listener.onPeerRevision(*receiver, static_cast<std::uint64_t>(message.revision),
+                                      std::chrono::milliseconds(maxAgeMs), TimePoint{});
 }
 
 void Membership::onAck(const wire::PeerMessage &message)
@@ -333,8 +333,8 @@
     if (this->probe.active && this->probe.sequence == message.sequence)
         this->probe.active = false;
     if (const Member *sender = this->find(message.sender.name))
-        this->listener.onPeerHeard(*sender, static_cast<std::uint64_t>(message.revision),
-                                   std::chrono::milliseconds(message.configAgeMs), requestedAt);
+        this->listener.onPeerRevision(*sender, static_cast<std::uint64_t>(message.revision),
+                                      std::chrono::milliseconds(message.configAgeMs), requestedAt);
 }
 
 void Membership::onPingRequest(std::string_view from, const wire::PeerMessage &message)
--- a/lib/Cluster/noticespread.cpp
+++ b/lib/Cluster/noticefanout.cpp
@@ -1,8 +1,8 @@
-#include "jaytrack/Cluster/noticespread.h"
+#include "jaytrack/Cluster/noticefanout.h"
 
 namespace jaytrack {
 
-void NoticeSpread::setPeers(std::span<const Member> others)
+void NoticeFanout::setPeers(std::span<const Member> others)
 {
     this->near.clear();
     this->distant.clear();
@@ -14,17 +14,17 @@
     }
 }
 
-NoticeSpread::Ways NoticeSpread::ways(std::mt19937_64 &random) const
+NoticeFanout::Recipients NoticeFanout::recipients(std::mt19937_64 &random) const
 {
-    Ways ways;
-    ways.direct = this->near;
+    Recipients recipients;
+    recipients.direct = this->near;
     for (const auto &[where, names] : this->distant) {
         if (names.size() >= minInstancesForRelay)
-            ways.relays.push_back(names[random() % names.size()]);
+            recipients.relays.push_back(names[random() % names.size()]);
         else
-            ways.direct.insert(ways.direct.end(), names.begin(), names.end());
+            recipients.direct.insert(recipients.direct.end(), names.begin(), names.end());
     }
-    return ways;
+    return recipients;
 }
 
 } // namespace jaytrack
--- a/lib/Cluster/wakefulness.cpp
+++ b/lib/Cluster/pausedetector.cpp
@@ -1,21 +1,21 @@
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 
 namespace jaytrack {
 
-Wakefulness::Wakefulness(const Clock &clockSource, Duration maxPause)
+PauseDetector::PauseDetector(const Clock &clockSource, Duration maxPause)
     : clock(clockSource)
     , limit(maxPause)
     , lastTick(clockSource.now().time_since_epoch().count())
 {
 }
 
-bool Wakefulness::clockJumped(TimePoint now) const
+bool PauseDetector::clockJumped(TimePoint now) const
 {
     const TimePoint last{Duration(this->lastTick.load())};
     return now - last > this->limit;
 }
 
-void Wakefulness::tick()
+void PauseDetector::tick()
 {
     const TimePoint now = this->clock.now();
     if (this->clockJumped(now)) {
@@ -27,14 +27,14 @@
 
 // An answer to a request from before the resumption may be as old as the request, so it does not
 // count as fresh.
-void Wakefulness::refreshed(TimePoint requestedAt)
+void PauseDetector::refreshed(TimePoint requestedAt)
 {
     Duration::rep since = this->resumedAt.load();
     if (since != 0 && requestedAt.time_since_epoch().count() >= since)
         this->resumedAt.compare_exchange_strong(since, 0);
 }
 
-bool Wakefulness::mayAct() const
+bool PauseDetector::mayAct() const
 {
     return this->resumedAt.load() == 0 && !this->clockJumped(this->clock.now());
 }
--- a/lib/Policy/baselines.cpp
+++ b/lib/Policy/baselines.cpp
@@ -62,7 +62,7 @@
 
     void setInstances(std::span<const std::string>) override {}
 
-    void submit(const GenerationAsk &ask) override
+    void submit(const GenerationRequest &ask) override
     {
         if (!this->tryPlace(ask))
             this->waiting.push_back({ask, this->clock.now()});
@@ -123,18 +123,19 @@
 
 protected:
     // Returns the engine to use now, or null if the request must wait.
-    virtual EngineState *choose(const GenerationAsk &ask, std::span<EngineState *const> usable) = 0;
+    virtual EngineState *choose(const GenerationRequest &ask,
+                                std::span<EngineState *const> usable) = 0;
 
     const Clock &clock;
 
 private:
     struct Waiting
     {
-        GenerationAsk ask;
+        GenerationRequest ask;
         TimePoint since;
     };
 
-    bool tryPlace(const GenerationAsk &ask)
+    bool tryPlace(const GenerationRequest &ask)
     {
         std::vector<EngineState *> usable;
         for (auto &[name, engine] : this->engines) {
@@ -165,7 +166,7 @@
     using SimplePolicy::SimplePolicy;
 
 protected:
-    EngineState *choose(const GenerationAsk &, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &, std::span<EngineState *const> usable) override
     {
         return usable[this->turn++ % usable.size()];
     }
@@ -185,7 +186,7 @@
     }
 
 protected:
-    EngineState *choose(const GenerationAsk &, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &, std::span<EngineState *const> usable) override
     {
         // Ties are broken at random; otherwise every instance would fill the engines in the
         // same order.
@@ -214,7 +215,7 @@
     }
 
 protected:
-    EngineState *choose(const GenerationAsk &, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &, std::span<EngineState *const> usable) override
     {
         EngineState *left = usable[this->random() % usable.size()];
         EngineState *right = usable[this->random() % usable.size()];
@@ -243,7 +244,7 @@
     }
 
 protected:
-    EngineState *choose(const GenerationAsk &ask, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &ask, std::span<EngineState *const> usable) override
     {
         const std::size_t start = this->random() % usable.size();
         EngineState *best = nullptr;
@@ -348,7 +349,7 @@
     }
 
 protected:
-    EngineState *choose(const GenerationAsk &ask, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &ask, std::span<EngineState *const> usable) override
     {
         EngineState *best = nullptr;
         double bestLoad = std::numeric_limits<double>::max();
--- a/lib/Policy/enginehome.cpp
+++ b/lib/Policy/enginehome.cpp
@@ -40,7 +40,7 @@
 {
 }
 
-bool EngineHome::takesWork() const
+bool EngineHome::acceptsWork() const
 {
     return this->isAlive() && !this->isLeaving();
 }
@@ -276,7 +276,7 @@
 std::vector<RoomRequest> EngineHome::grantRoom()
 {
     std::vector<RoomRequest> granted;
-    while (this->takesWork() && !this->waiting.empty()) {
+    while (this->acceptsWork() && !this->waiting.empty()) {
         const auto next = this->choose();
         if (!this->fits(*next))
             break; // later requests may not overtake it, or a large request would never be served
--- a/lib/Policy/fleetmessages.cpp
+++ b/lib/Policy/fleetmessages.cpp
@@ -61,7 +61,7 @@
 void FleetPolicy::notifyHomeOf(const std::string &engine, const RequestState &state, int kind)
 {
     const auto view = this->engines.find(engine);
-    if (view == this->engines.end() || !this->options.askHomes)
+    if (view == this->engines.end() || !this->options.useHomes)
         return;
     const wire::GrantBody body = this->grantBody(state, engine, kind);
     if (view->second.home)
@@ -181,7 +181,7 @@
 void FleetPolicy::serveHome(EngineView &view)
 {
     EngineHome &home = *view.home;
-    if (!home.takesWork()) {
+    if (!home.acceptsWork()) {
         for (const RoomRequest &request : home.takeWaiting())
             this->answer(request, view, GrantRefused);
     }
--- a/lib/Policy/fleetpolicy.cpp
+++ b/lib/Policy/fleetpolicy.cpp
@@ -249,7 +249,7 @@
 
 // ---- Requesting room ----
 
-void FleetPolicy::submit(const GenerationAsk &ask)
+void FleetPolicy::submit(const GenerationRequest &ask)
 {
     RequestState &state = this->requests[ask.id];
     state.ask = ask;
@@ -280,7 +280,7 @@
 
 RoomRequest FleetPolicy::roomRequest(const RequestState &state) const
 {
-    const GenerationAsk &ask = state.ask;
+    const GenerationRequest &ask = state.ask;
     RoomRequest request;
     request.key = {this->self, static_cast<std::int64_t>(ask.id)};
     request.customer = ask.customer;
@@ -305,7 +305,7 @@
     state.stepAt = this->clock.now();
     view.requestedSince +=
             (state.ask.promptTokens + 1.0) / static_cast<double>(view.spec.memoryTokens);
-    if (!this->options.askHomes) {
+    if (!this->options.useHomes) {
         this->place(state, view, "chosen from this instance's own view");
         return;
     }
--- a/lib/Policy/targetpauses.cpp
+++ b/lib/Policy/targetpauses.cpp
@@ -4,7 +4,7 @@
 
 namespace jaytrack {
 
-void TargetPauses::leaveAlone(std::string_view target, Duration time)
+void TargetPauses::pause(std::string_view target, Duration time)
 {
     const TimePoint now = this->clock.now();
     std::erase_if(this->until, [now](const auto &entry) { return entry.second <= now; });
@@ -12,7 +12,7 @@
     end = std::max(end, now + time);
 }
 
-Duration TargetPauses::left(std::string_view target) const
+Duration TargetPauses::remaining(std::string_view target) const
 {
     const auto found = this->until.find(target);
     if (found == this->until.end())
--- a/lib/Proxy/exchange.cpp
+++ b/lib/Proxy/exchange.cpp
@@ -155,7 +155,8 @@
 
 Duration Exchange::restOf(const TargetEntry &target, double rate) const
 {
-    return std::max({this->context.pauses.left(target.id), this->context.cold.wait(target.id, rate),
+    return std::max({this->context.pauses.remaining(target.id),
+                     this->context.cold.wait(target.id, rate),
                      this->context.limits.rest(target.id)});
 }
 
--- a/lib/Proxy/peerlink.cpp
+++ b/lib/Proxy/peerlink.cpp
@@ -448,7 +448,7 @@
 
 void PeerLink::tellPeers(wire::EntryNotices &message)
 {
-    const NoticeSpread::Ways ways = this->spread.ways(this->random);
+    const NoticeFanout::Recipients ways = this->spread.recipients(this->random);
     this->membership.sendPolicy(ways.direct, encodeMessage(message));
     message.relay = true;
     this->membership.sendPolicy(ways.relays, encodeMessage(message));
--- a/lib/Proxy/selfreports.cpp
+++ b/lib/Proxy/selfreports.cpp
@@ -30,7 +30,7 @@
 void SelfReports::hearFacts(std::string_view target, const AnswerFacts &said)
 {
     if (said.leaveAloneFor) {
-        this->pauses.leaveAlone(target, *said.leaveAloneFor);
+        this->pauses.pause(target, *said.leaveAloneFor);
         logEvent(Severity::Info, "target_wants_rest",
                  {{"target", target},
                   {"for_ms", static_cast<std::int64_t>(said.leaveAloneFor->count())}});
--- a/lib/Serve/gateway.cpp
+++ b/lib/Serve/gateway.cpp
@@ -1,6 +1,6 @@
 #include "jaytrack/Serve/gateway.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/settings.h"
 #include "jaytrack/Support/digest.h"
 #include "jaytrack/Support/metrics.h"
@@ -45,7 +45,7 @@
     return text;
 }
 
-void describePrefix(GenerationAsk &ask, std::string_view prefix)
+void describePrefix(GenerationRequest &ask, std::string_view prefix)
 {
     const std::uint32_t tokens = tokensOf(prefix);
     if (tokens < leastPrefixTokens)
@@ -55,7 +55,7 @@
 }
 
 // Reads what placement needs from a chat request: its size and the prefix that it may share.
-bool describeChat(const json &body, GenerationAsk &ask)
+bool describeChat(const json &body, GenerationRequest &ask)
 {
     if (!body.contains("messages") || !body["messages"].is_array() || body["messages"].empty())
         return false;
@@ -68,7 +68,7 @@
     return true;
 }
 
-bool describeText(const json &body, GenerationAsk &ask)
+bool describeText(const json &body, GenerationRequest &ask)
 {
     static constexpr std::size_t prefixBytes = 1024;
     if (!body.contains("prompt") || !body["prompt"].is_string())
@@ -258,7 +258,7 @@
                     caller.requestId);
         return;
     }
-    GenerationAsk &ask = order.value().ask;
+    GenerationRequest &ask = order.value().ask;
     ask.id = this->context.nextRequest.fetch_add(1);
     ask.customer = caller.customer->name;
     ask.weight = caller.customer->weight;
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -1,6 +1,6 @@
 #include "jaytrack/Serve/generationcall.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/settings.h"
 #include "jaytrack/Quarantine/crashwatch.h"
 #include "jaytrack/Quarantine/requestdigest.h"
@@ -175,7 +175,7 @@
     if (!shortest)
         return false;
     const TimePoint now = this->context.clock.now();
-    const GenerationAsk &ask = this->order.ask;
+    const GenerationRequest &ask = this->order.ask;
     const Duration patience = ask.mayWait ? ask.maxWait : Duration(0);
     if (now + *shortest > this->startedAt + patience) {
         this->finish({ResultCode::Overloaded, "the engines name limits",
@@ -193,7 +193,7 @@
     if (this->waitsForLimits())
         return;
     this->phase = Phase::Placing;
-    GenerationAsk ask = this->order.ask;
+    GenerationRequest ask = this->order.ask;
     for (std::string &name : this->restingEngines())
         ask.avoid.push_back(std::move(name));
     const std::weak_ptr<GenerationCall> self = this->weak_from_this();
--- a/lib/Serve/instance.cpp
+++ b/lib/Serve/instance.cpp
@@ -1,6 +1,6 @@
 #include "jaytrack/Serve/instance.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/documentstore.h"
 #include "jaytrack/Http/client.h"
 #include "jaytrack/Limits/limitgate.h"
@@ -332,7 +332,7 @@
     const Clock &clock;
     Metrics metrics;
     KeyRing keys;
-    Wakefulness wakefulness;
+    PauseDetector wakefulness;
     DocumentStore documents;
     std::atomic<bool> cautious{false};
     FleetPolicy *fleetPolicy = nullptr; // owned by placement; null if a baseline is chosen
--- a/lib/Serve/operatordesk.cpp
+++ b/lib/Serve/operatordesk.cpp
@@ -1,6 +1,6 @@
 #include "jaytrack/Serve/operatordesk.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/documentstore.h"
 #include "jaytrack/Serve/gateway.h"
 #include "jaytrack/Serve/peernode.h"
@@ -85,7 +85,7 @@
     metrics.gauge("jaytrack_peer_rejected_total", static_cast<double>(counts.rejected));
     metrics.gauge("jaytrack_suspicions_total", static_cast<double>(counts.suspicions));
     metrics.gauge("jaytrack_late_wakings_total",
-                  static_cast<double>(this->view.wakefulness.lateWakings()));
+                  static_cast<double>(this->view.wakefulness.detectedPauses()));
     metrics.gauge("jaytrack_ledger_tickets",
                   static_cast<double>(this->view.gateway.services().ledgerSize()));
     metrics.gauge("jaytrack_ledger_bytes",
--- a/lib/Serve/peernode.cpp
+++ b/lib/Serve/peernode.cpp
@@ -132,11 +132,12 @@
     MembershipListener &listener = *this;
     this->membership = std::make_unique<Membership>(self, this->clock, device(), this->keys,
                                                     transport, listener);
-    ConfigSpreadOptions options;
+    ConfigPropagationOptions options;
     options.readyDelay = this->settings.readyDelay;
     DocumentSink &sink = *this;
     DocumentFetcher &fetcher = *this;
-    this->spread = std::make_unique<ConfigSpread>(this->clock, device(), sink, fetcher, options);
+    this->spread =
+            std::make_unique<ConfigPropagation>(this->clock, device(), sink, fetcher, options);
     this->membership->suggest(this->settings.peerSeeds);
     this->receiveNext();
     return BOOST_OUTCOME_V2_NAMESPACE::success();
@@ -180,7 +181,7 @@
         dirty = std::exchange(this->membersDirty, false);
         if (dirty) {
             for (const Member &member : this->membership->members()) {
-                if (member.takesWork())
+                if (member.acceptsWork())
                     names.push_back(member.name);
             }
         }
@@ -262,7 +263,7 @@
 bool PeerNode::cautious()
 {
     const std::lock_guard lock(this->mutex);
-    return this->spread->cautious();
+    return this->spread->mayBeStale();
 }
 
 Duration PeerNode::configAge()
@@ -307,8 +308,8 @@
     this->socket.send_to(asio::buffer(datagram), *endpoint, 0, ignored);
 }
 
-void PeerNode::onPeerHeard(const Member &peer, std::uint64_t revision, Duration age,
-                           TimePoint askedAt)
+void PeerNode::onPeerRevision(const Member &peer, std::uint64_t revision, Duration age,
+                              TimePoint askedAt)
 {
     const bool asked = askedAt != TimePoint{};
     this->spread->onPeer(peer.peerAddress, revision, age,
--- a/lib/Serve/placementdesk.cpp
+++ b/lib/Serve/placementdesk.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-void PlacementDesk::submit(const GenerationAsk &ask, Placed placed)
+void PlacementDesk::submit(const GenerationRequest &ask, Placed placed)
 {
     const std::lock_guard lock(this->mutex);
     this->asked.emplace(ask.id, std::move(placed));
--- a/lib/Serve/servicecall.cpp
+++ b/lib/Serve/servicecall.cpp
@@ -1,6 +1,6 @@
 #include "jaytrack/Serve/servicecall.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/settings.h"
 #include "jaytrack/Quarantine/crashwatch.h"
 #include "jaytrack/Quarantine/requestdigest.h"
@@ -281,7 +281,7 @@
 // How long the target gets nothing: it wants rest, or names a limit that is used up.
 Duration ServiceDesk::restOf(const ServiceTarget &target) const
 {
-    return std::max(this->pauses.left(target.name), this->context.limits.rest(target.name));
+    return std::max(this->pauses.remaining(target.name), this->context.limits.rest(target.name));
 }
 
 const ServiceTarget *ServiceDesk::chooseTarget(const Call &call)
@@ -335,7 +335,7 @@
 
 void ServiceDesk::attempt(const CallPointer &call)
 {
-    // See Wakefulness: a process that woke late must not send on what it knew before.
+    // See PauseDetector: a process that woke late must not send on what it knew before.
     if (!this->context.wakefulness.mayAct()) {
         this->refuse(call, {ResultCode::AsleepTooLong, "", comeBackSoon});
         return;
@@ -416,7 +416,7 @@
     this->hearLimit(*call, target, answer);
     const auto rest = parseRetryAfter(findHeader(answer.headers, "Retry-After"));
     if (answer.end.whole && answer.end.status == unavailableStatus && rest)
-        this->pauses.leaveAlone(target.name, *rest);
+        this->pauses.pause(target.name, *rest);
     if (answer.end.whole) {
         const KeptAnswer kept{ResultCode::Ok, answer.end.status,
                               std::string(findHeader(answer.headers, "Content-Type")), answer.body};
--- a/unittests/Cluster/configspreadtest.cpp
+++ b/unittests/Cluster/configpropagationtest.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Cluster/configspread.h"
+#include "jaytrack/Cluster/configpropagation.h"
 
 #include <criterion/criterion.h>
 
@@ -28,10 +28,10 @@
 
 // Guards against a new instance that serves replaced rules: it starts while the service's replica
 // is behind, and becomes ready without comparing its revision with its peers.
-Test(configspread, newInstanceComparesWithPeersFirst)
+Test(configpropagation, newInstanceComparesWithPeersFirst)
 {
     Fixture fixture;
-    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
     fixture.currentRevision = 3;
     spread.onService(3, fixture.clock.now());
     cr_assert(!spread.mayServe());
@@ -43,10 +43,10 @@
     cr_assert(spread.mayServe());
 }
 
-Test(configspread, servesWithoutPeersAfterADelay)
+Test(configpropagation, servesWithoutPeersAfterADelay)
 {
     Fixture fixture;
-    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
     cr_assert(!spread.mayServe());
     fixture.currentRevision = 3;
     fixture.clock.advance(std::chrono::seconds(2));
@@ -55,10 +55,10 @@
 
 // Guards against waiting for one peer without a time-out: the instance would never receive a
 // revision if the peer it fetches from has died.
-Test(configspread, fetchesFromAnotherPeerAfterATimeout)
+Test(configpropagation, fetchesFromAnotherPeerAfterATimeout)
 {
     Fixture fixture;
-    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
     spread.onPeer("dead", 5, Duration(0), fixture.clock.now());
     spread.onPeer("alive", 5, Duration(0), fixture.clock.now());
     cr_assert(fixture.fetched.size() == 1);
@@ -70,19 +70,19 @@
 
 // Guards against confirming old rules without an answer to an own request. A paused instance would
 // otherwise accept a stale replica or an unsolicited message of a peer as confirmation.
-Test(configspread, onlyAnswersConfirmARevision)
+Test(configpropagation, onlyAnswersConfirmARevision)
 {
     Fixture fixture;
-    ConfigSpread spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
     fixture.currentRevision = 5;
     fixture.clock.advance(std::chrono::seconds(60));
     spread.onService(4, fixture.clock.now());
     spread.onPeer("p", 5, Duration(0), std::nullopt);
-    cr_assert(spread.cautious());
+    cr_assert(spread.mayBeStale());
     spread.onPeer("p", 5, std::chrono::seconds(30), fixture.clock.now());
-    cr_assert(spread.cautious(), "the peer has not confirmed the revision for 30 s");
+    cr_assert(spread.mayBeStale(), "the peer has not confirmed the revision for 30 s");
     spread.onPeer("p", 5, std::chrono::seconds(1), fixture.clock.now());
-    cr_assert(!spread.cautious());
+    cr_assert(!spread.mayBeStale());
     fixture.clock.advance(std::chrono::seconds(30));
-    cr_assert(spread.cautious());
+    cr_assert(spread.mayBeStale());
 }
--- a/unittests/Cluster/membershipfixture.h
+++ b/unittests/Cluster/membershipfixture.h
@@ -48,7 +48,7 @@
         }
 
         void onMembersChanged() override { ++this->changeCalls; }
-        void onPeerHeard(const Member &, std::uint64_t revision, Duration, TimePoint) override
+        void onPeerRevision(const Member &, std::uint64_t revision, Duration, TimePoint) override
         {
             this->latestRevision = std::max(this->latestRevision, revision);
         }
--- a/unittests/Cluster/membershiptest.cpp
+++ b/unittests/Cluster/membershiptest.cpp
@@ -1,6 +1,6 @@
 #include "membershipfixture.h"
 
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 
 #include <criterion/criterion.h>
 
@@ -39,8 +39,8 @@
     fixture.run(std::chrono::seconds(5));
     fixture.cutBothWays("a:1", "b:1");
     fixture.run(std::chrono::seconds(30));
-    cr_assert(fixture.peers[0]->membership.find("b")->takesWork());
-    cr_assert(fixture.peers[1]->membership.find("a")->takesWork());
+    cr_assert(fixture.peers[0]->membership.find("b")->acceptsWork());
+    cr_assert(fixture.peers[1]->membership.find("a")->acceptsWork());
 }
 
 // Guards against a permanent split after a partition: each side has declared the other gone and
@@ -93,7 +93,7 @@
     fixture.add("c2", "c:1", 2);
     fixture.run(std::chrono::seconds(10));
     cr_assert(fixture.peers[0]->membership.find("c")->state == MemberState::Gone);
-    cr_assert(fixture.peers[0]->membership.find("c2")->takesWork());
+    cr_assert(fixture.peers[0]->membership.find("c2")->acceptsWork());
 }
 
 Test(membership, announcesLeavingAtOnce)
@@ -105,7 +105,7 @@
     fixture.peers[1]->membership.leave();
     fixture.run(std::chrono::seconds(2));
     cr_assert(fixture.peers[0]->membership.find("b")->state == MemberState::Leaving);
-    cr_assert(!fixture.peers[0]->membership.find("b")->takesWork());
+    cr_assert(!fixture.peers[0]->membership.find("b")->acceptsWork());
 }
 
 Test(membership, propagatesRevisions)
@@ -142,11 +142,11 @@
 
 // Guards against leaving the detection of a pause to the timer: after the pause a request's thread
 // may run before the ticking thread, and would send a payment to a target that left meanwhile.
-Test(wakefulness, detectsAPauseBeforeTheNextTick)
+Test(pauseDetector, detectsAPauseBeforeTheNextTick)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
-    Wakefulness wakefulness(clock, std::chrono::seconds(2));
+    PauseDetector wakefulness(clock, std::chrono::seconds(2));
     clock.advance(std::chrono::seconds(1));
     cr_assert(wakefulness.mayAct());
     const TimePoint beforePause = clock.now();
@@ -158,5 +158,5 @@
     cr_assert(!wakefulness.mayAct(), "an answer to a request from before the pause is not fresh");
     wakefulness.refreshed(clock.now());
     cr_assert(wakefulness.mayAct());
-    cr_assert(wakefulness.lateWakings() == 1);
+    cr_assert(wakefulness.detectedPauses() == 1);
 }
--- a/unittests/Cluster/noticespreadtest.cpp
+++ b/unittests/Cluster/noticefanouttest.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Cluster/noticespread.h"
+#include "jaytrack/Cluster/noticefanout.h"
 
 #include <criterion/criterion.h>
 #include <criterion/parameterized.h>
@@ -60,9 +60,9 @@
 {
     const std::vector<Member> fleet = fleetOf(*size);
     std::mt19937_64 random(1);
-    NoticeSpread sender("dc0");
+    NoticeFanout sender("dc0");
     sender.setPeers(fleetWithout(fleet, "i0-0"));
-    const NoticeSpread::Ways ways = sender.ways(random);
+    const NoticeFanout::Recipients ways = sender.recipients(random);
     std::multiset<std::string> received(ways.direct.begin(), ways.direct.end());
     std::size_t distant = 0;
     for (const std::string &name : ways.direct)
@@ -70,7 +70,7 @@
     for (const std::string &name : ways.relays) {
         ++distant;
         received.insert(name);
-        NoticeSpread relay(dataCentreOf(name));
+        NoticeFanout relay(dataCentreOf(name));
         relay.setPeers(fleetWithout(fleet, name));
         for (const std::string &neighbour : relay.neighbours())
             received.insert(neighbour);
@@ -83,15 +83,15 @@
 
 // Guards against using the same relay for every notice: a data centre would receive no notices
 // while that instance is frozen.
-Test(noticeSpread, relaysAreChosenPerNotice)
+Test(noticeFanout, relaysAreChosenPerNotice)
 {
     const std::vector<Member> fleet = fleetOf({2, 32, 0});
     std::mt19937_64 random(1);
-    NoticeSpread sender("dc0");
+    NoticeFanout sender("dc0");
     sender.setPeers(fleetWithout(fleet, "i0-0"));
     std::set<std::string> relays;
     for (int i = 0; i < 200; ++i) {
-        const NoticeSpread::Ways ways = sender.ways(random);
+        const NoticeFanout::Recipients ways = sender.recipients(random);
         cr_assert(ways.relays.size() == 1);
         relays.insert(ways.relays.front());
     }
--- a/unittests/Policy/targetpausestest.cpp
+++ b/unittests/Policy/targetpausestest.cpp
@@ -12,11 +12,11 @@
     clock.advance(std::chrono::hours(1));
     TargetPauses pauses(clock);
     cr_assert_not(pauses.isPaused("a"));
-    pauses.leaveAlone("a", std::chrono::seconds(3));
-    pauses.leaveAlone("a", std::chrono::seconds(1));
+    pauses.pause("a", std::chrono::seconds(3));
+    pauses.pause("a", std::chrono::seconds(1));
     cr_assert_not(pauses.isPaused("b"));
     clock.advance(std::chrono::milliseconds(2900));
-    cr_assert_eq(pauses.left("a"), Duration(std::chrono::milliseconds(100)));
+    cr_assert_eq(pauses.remaining("a"), Duration(std::chrono::milliseconds(100)));
     clock.advance(std::chrono::milliseconds(100));
     cr_assert_not(pauses.isPaused("a"));
 }
--- a/unittests/Soak/fleet.cpp
+++ b/unittests/Soak/fleet.cpp
@@ -115,7 +115,8 @@
     });
 }
 
-void Node::onPeerHeard(const Member &peer, std::uint64_t revision, Duration age, TimePoint askedAt)
+void Node::onPeerRevision(const Member &peer, std::uint64_t revision, Duration age,
+                          TimePoint askedAt)
 {
     const bool asked = askedAt != TimePoint{};
     this->spread.onPeer(peer.peerAddress, revision, age,
@@ -416,7 +417,7 @@
                           std::to_string(this->nodes.size()));
         for (const auto &other : this->nodes) {
             const Member *member = node->membership.find(other->name());
-            if (member == nullptr || !member->takesWork())
+            if (member == nullptr || !member->acceptsWork())
                 this->violate(node->name() + " does not hold " + other->name() + " for live");
         }
     }
--- a/unittests/Soak/fleet.h
+++ b/unittests/Soak/fleet.h
@@ -5,9 +5,9 @@
 
 #include "simulation.h"
 
-#include "jaytrack/Cluster/configspread.h"
+#include "jaytrack/Cluster/configpropagation.h"
 #include "jaytrack/Cluster/membership.h"
-#include "jaytrack/Cluster/wakefulness.h"
+#include "jaytrack/Cluster/pausedetector.h"
 #include "jaytrack/Config/documentstore.h"
 #include "jaytrack/Once/ledger.h"
 #include "jaytrack/Stream/relay.h"
@@ -70,8 +70,8 @@
     std::uint64_t servedRevision = 0; // the newest it has ever shown
 
     Membership membership;
-    ConfigSpread spread;
-    Wakefulness wakefulness;
+    ConfigPropagation spread;
+    PauseDetector wakefulness;
     DocumentStore documents;
     TicketLedger ledger;
 
@@ -95,8 +95,8 @@
 private:
     void send(std::string_view to, std::string datagram) override;
     void onMembersChanged() override {}
-    void onPeerHeard(const Member &peer, std::uint64_t revision, Duration age,
-                     TimePoint askedAt) override;
+    void onPeerRevision(const Member &peer, std::uint64_t revision, Duration age,
+                        TimePoint askedAt) override;
     void onPolicyMessage(std::string_view, std::string_view) override {}
     void offer(std::string_view bytes, std::uint64_t revision, std::string_view source) override;
     void fetchDocument(const std::string &peerAddress) override;
