--- a/include/jaytrack/Serve/answers.h
+++ b/include/jaytrack/Serve/answers.h
@@ -1,4 +1,4 @@
-// The shape of what callers receive: outcome headers, OpenAI-style errors, request numbers.
+// Formats responses to callers: outcome headers, errors in the OpenAI format and request IDs.
 #ifndef JAYTRACK_SERVE_ANSWERS_H
 #define JAYTRACK_SERVE_ANSWERS_H
 
@@ -12,29 +12,30 @@
 
 namespace jaytrack {
 
-// What is said when a request ends.
-struct Ending
+// The result that is reported to the caller when a request ends.
+struct FinalStatus
 {
     ResultCode code = ResultCode::Ok;
     std::string detail;
-    std::chrono::milliseconds retryAfter{0}; // 0 says nothing about coming back
+    std::chrono::milliseconds retryAfter{0}; // 0: no Retry-After header is sent
 };
 
-// Names of the headers that jaytrack adds to every answer.
+// Headers that jaytrack adds to its responses, and the request headers that it reads.
 inline constexpr std::string_view outcomeHeader = "Jaytrack-Outcome";
 inline constexpr std::string_view codeHeader = "Jaytrack-Code";
 inline constexpr std::string_view requestHeader = "Jaytrack-Request";
 inline constexpr std::string_view ticketHeader = "Jaytrack-Ticket";
 inline constexpr std::string_view forwardedHeader = "Jaytrack-Forwarded";
 
-// The headers that state the outcome, for a code and a request number.
+// Returns the headers that carry the outcome, the result code and the request ID.
 std::vector<HttpHeader> outcomeHeaders(ResultCode code, std::string_view requestId);
 
-// The error in the shape that OpenAI clients expect.
-std::string errorBody(const Ending &ending, std::string_view requestId);
+// Returns the JSON error body in the format that OpenAI clients expect.
+std::string errorBody(const FinalStatus &finalStatus, std::string_view requestId);
 
-// Answers with an error whole.
-void answerError(ResponseWriter &writer, const Ending &ending, std::string_view requestId);
+// Sends a complete error response.
+void answerError(ResponseWriter &writer, const FinalStatus &finalStatus,
+                 std::string_view requestId);
 
 } // namespace jaytrack
 
--- a/include/jaytrack/Serve/context.h
+++ b/include/jaytrack/Serve/context.h
@@ -1,4 +1,4 @@
-// What every request in service needs from the instance that serves it.
+// The parts of an instance that its requests share.
 #ifndef JAYTRACK_SERVE_CONTEXT_H
 #define JAYTRACK_SERVE_CONTEXT_H
 
@@ -21,11 +21,11 @@
 class KeyRing;
 class LimitGate;
 class Metrics;
-class PlacementDesk;
+class SharedPlacementPolicy;
 class Wakefulness;
 struct Settings;
 
-// Where another instance answers callers.
+// Address at which another instance accepts callers' requests.
 struct PeerAddress
 {
     std::string callerAddress;
@@ -38,11 +38,11 @@
 public:
     virtual ~PeerDirectory() = default;
 
-    // The instance with that name, if the incarnation known of it is the one asked for.
+    // Returns the instance with that name if its known incarnation equals the requested one.
     virtual std::optional<PeerAddress> find(std::string_view name, std::int64_t incarnation) = 0;
 };
 
-// The parts of an instance that its requests use. All outlive every request.
+// Every referenced object outlives all requests.
 struct ServeContext
 {
     const Settings &settings;
@@ -50,12 +50,12 @@
     Metrics &metrics;
     const KeyRing &keys;
     HttpClient &targets;
-    PlacementDesk &placement;
-    Wakefulness &wakefulness;
+    SharedPlacementPolicy &placement;
+    Wakefulness &pauseDetector;
     PeerDirectory &peers;
     CrashWatch &crashes;
     LimitGate &limits;
-    std::function<bool()> cautious; // the rules in force may have been replaced unnoticed
+    std::function<bool()> configMayBeStale; // whether the active configuration may be out of date
     std::string instanceName;
     std::int64_t incarnation = 0;
     std::atomic<std::uint64_t> nextRequest{1};
@@ -67,13 +67,14 @@
     }
 };
 
-// Who asks, and under which revision the whole of the request is decided.
+// The authenticated customer of a request, and the document revision that applies to the request
+// from start to end.
 struct Caller
 {
     std::shared_ptr<const Document> document;
     const Customer *customer = nullptr; // within the document
     std::string requestId;
-    std::shared_ptr<void> admission; // frees the customer's place when the request ends
+    std::shared_ptr<void> admission; // releases the admission slot when the request ends
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Serve/enginewatcher.h
+++ b/include/jaytrack/Serve/enginewatcher.h
@@ -1,4 +1,4 @@
-// Asks the engines at home here for their load, and tells the placement policy.
+// Polls the load of the engines whose home is this instance and reports it to the placement policy.
 #ifndef JAYTRACK_SERVE_ENGINEWATCHER_H
 #define JAYTRACK_SERVE_ENGINEWATCHER_H
 
@@ -13,12 +13,12 @@
 
 namespace jaytrack {
 
-// Each engine is asked by its home only, so the number of questions does not grow with the
-// instances. Runs on the control thread.
+// Each engine is polled only by its home instance, so the number of polls does not grow with the
+// number of instances. Runs on the control thread.
 class EngineWatcher
 {
 public:
-    EngineWatcher(ServeContext &context, std::function<bool(std::string_view)> homeTest);
+    EngineWatcher(ServeContext &context, std::function<bool(std::string_view)> homePredicate);
     ~EngineWatcher();
     EngineWatcher(const EngineWatcher &) = delete;
     EngineWatcher &operator=(const EngineWatcher &) = delete;
@@ -26,17 +26,17 @@
     void tick(const Document &document);
 
 private:
-    struct Watched
+    struct PollState
     {
         TimePoint nextAt;
-        bool asking = false;
+        bool pollInFlight = false;
         int failures = 0;
     };
 
     struct State;
 
-    void askIfPermitted(const std::string &name, const std::string &address);
-    void ask(const std::string &engine, const std::string &address);
+    void pollIfPermitted(const std::string &name, const std::string &address);
+    void poll(const std::string &engine, const std::string &address);
 
     ServeContext &context;
     std::function<bool(std::string_view)> isHome;
--- a/include/jaytrack/Serve/gateway.h
+++ b/include/jaytrack/Serve/gateway.h
@@ -1,5 +1,5 @@
-// The callers' interface of one instance: recognises the customer, checks the request and hands it
-// to whatever serves its kind.
+// HTTP interface of an instance for callers. Authenticates the customer, validates the request and
+// dispatches it to the generation or service handler.
 #ifndef JAYTRACK_SERVE_GATEWAY_H
 #define JAYTRACK_SERVE_GATEWAY_H
 
@@ -8,7 +8,7 @@
 #include "jaytrack/Serve/context.h"
 #include "jaytrack/Serve/generationcall.h"
 #include "jaytrack/Serve/requestlog.h"
-#include "jaytrack/Serve/servicecall.h"
+#include "jaytrack/Serve/servicehandler.h"
 
 #include <atomic>
 #include <map>
@@ -18,7 +18,7 @@
 
 namespace jaytrack {
 
-// Counts the requests in service, per customer and in all, against their limits.
+// Limits the number of requests in service, per customer and in total.
 class AdmissionMeter : public std::enable_shared_from_this<AdmissionMeter>
 {
 public:
@@ -27,8 +27,8 @@
     {
     }
 
-    // A place for one more request, which is free again when the pointer goes; null with a code if
-    // a limit is reached.
+    // Reserves a slot for one request. The slot is released when the last copy of the returned
+    // pointer is destroyed. Returns null and sets the code if a limit is reached.
     std::shared_ptr<void> admit(const Customer &customer, ResultCode &code);
 
     std::size_t inService() const;
@@ -49,41 +49,42 @@
 
     void handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
-    // Does what is due for every request in service.
+    // Runs the periodic work of every request in service, such as time-outs and delayed retries.
     void sweep();
 
-    // Takes back a request that no target may be given any more from wherever it waits.
+    // Ends generations whose request digest has been barred and that have not received a token yet.
     void withdraw(std::string_view digest);
 
-    // From now on new requests are refused; those in service go on.
+    // Starts refusing new requests; requests in service continue. Requests that carry a ticket are
+    // still accepted.
     void drain() { this->draining.store(true); }
     bool isDraining() const { return this->draining.load(); }
 
-    // Whether every request has ended.
+    // Returns true if no request is in service.
     bool idle() const;
 
-    // Ends every request at once, naming each in the log.
+    // Ends all generations immediately and logs the ID of every request in service.
     void cut();
 
-    // Set once this instance has heard enough to serve.
+    // Set once this instance has received the configuration that it needs to serve.
     void setReady(bool isReady) { this->ready.store(isReady); }
     bool isReady() const { return this->ready.load() && !this->draining.load(); }
 
     const RequestLog &requests() const { return this->log; }
-    ServiceDesk &services() { return this->serviceDesk; }
+    ServiceHandler &services() { return this->serviceHandler; }
     std::size_t inService() const { return this->meter->inService(); }
     std::size_t streams() const { return this->registry.size(); }
 
 private:
     void handleHealth(const HttpRequest &request, ResponseWriter &writer) const;
-    bool identify(const HttpRequest &request, Caller &caller, Ending &refusal);
+    bool identify(const HttpRequest &request, Caller &caller, FinalStatus &refusal);
     void handleModels(const Caller &caller, ResponseWriter &writer) const;
     void handleCompletion(Caller caller, const HttpRequest &request,
                           std::shared_ptr<ResponseWriter> writer);
     void handleResume(Caller caller, std::string_view cursorOrHandle, const HttpRequest &request,
                       std::shared_ptr<ResponseWriter> writer);
     void handleService(Caller caller, HttpRequest request, std::shared_ptr<ResponseWriter> writer);
-    void startGeneration(Caller caller, GenerationOrder order,
+    void startGeneration(Caller caller, GenerationSpec spec,
                          std::shared_ptr<ResponseWriter> writer);
 
     ServeContext &context;
@@ -91,7 +92,7 @@
     std::shared_ptr<AdmissionMeter> meter;
     RequestLog log;
     CallRegistry registry;
-    ServiceDesk serviceDesk;
+    ServiceHandler serviceHandler;
     std::atomic<bool> draining{false};
     std::atomic<bool> ready{false};
 };
--- a/include/jaytrack/Serve/generationcall.h
+++ b/include/jaytrack/Serve/generationcall.h
@@ -1,5 +1,5 @@
-// One caller's generation while this instance serves it: placed, relayed token by token, recovered
-// when an engine or a link fails, and ended with a code.
+// A generation request that this instance serves. Places it on an engine, relays the tokens to the
+// caller, recovers when an engine or a connection fails, and ends with a result code.
 #ifndef JAYTRACK_SERVE_GENERATIONCALL_H
 #define JAYTRACK_SERVE_GENERATIONCALL_H
 
@@ -26,15 +26,15 @@
 class CallRegistry;
 struct SseEvent;
 
-// What a caller asked for.
-struct GenerationOrder
+// The parsed generation request of a caller.
+struct GenerationSpec
 {
-    GenerationAsk ask;
+    GenerationAsk placementRequest;
     std::string path; // the OpenAI path, the same at the engine
     std::string body; // JSON with streaming switched on
     bool wantsStream = true;
     bool chat = true;
-    std::optional<StreamHandle> resumed; // set if an existing generation is to be gone on with
+    std::optional<StreamHandle> resumed; // set if an existing generation is to be resumed
     std::uint64_t firstIndex = 0;
 };
 
@@ -43,17 +43,17 @@
 {
 public:
     GenerationCall(ServeContext &context, CallRegistry &registry, RequestLog &log, Caller caller,
-                   GenerationOrder order, std::shared_ptr<ResponseWriter> writer);
+                   GenerationSpec spec, std::shared_ptr<ResponseWriter> writer);
 
     void start();
 
-    // Does what has come due: recovery, time-outs, keep-alive comments, abandonment.
+    // Runs due work: recovery, time-outs, keep-alive comments, cancellation for absent callers.
     void sweep();
 
-    // Ends the call if it is this request and no token has come yet: no engine may be given it.
+    // Ends the call with RequestBarred if its digest matches and no token has been received yet.
     void withdraw(std::string_view barredDigest);
 
-    // Ends the call at once because the instance was told to stop without waiting.
+    // Ends the call immediately because the instance stops without waiting for its requests.
     void cut();
 
     const std::string &id() const { return this->caller.requestId; }
@@ -61,17 +61,17 @@
 private:
     class Attempt;
 
-    // Asking: the engine names a limit, and a permit for the attempt is awaited.
-    enum class Phase { Placing, Asking, Relaying, Pausing, Ended };
+    // AwaitingPermit: the attempt waits for a permit because the engine has a rate limit.
+    enum class Phase { Placing, AwaitingPermit, Relaying, Waiting, Ended };
 
-    // By which the request is recognised when its caller sends it again.
+    // Identifies the request when its caller sends it again.
     std::string digest() const;
 
-    // Ends the call if no engine may be given it; tells whether it did.
-    bool refusedAsBarred();
-    void noteLostUnanswered(const HttpCallEnd &end);
+    // Ends the call if its request is barred from all engines. Returns true if it did.
+    bool finishIfBarred();
+    void reportUnansweredLoss(const HttpCallEnd &end);
 
-    // What an event means beyond the token that it may carry.
+    // Effect of an event on the call, apart from a token that it may carry.
     enum class Signal { None, Done, Superseded, Failed, Garbled };
 
     void place();
@@ -79,8 +79,8 @@
     void attach(const Engine &engine, bool resume);
     void onPermit(const Permit &permit, bool resume);
     void begin(bool resume);
-    std::vector<std::string> restingEngines() const;
-    bool waitsForLimits();
+    std::vector<std::string> rateLimitedEngines() const;
+    bool deferForRateLimits();
     HttpCall firstCall(const Engine &engine) const;
     HttpCall resumeCall(const Engine &engine) const;
 
@@ -88,34 +88,34 @@
     bool onData(AttemptId attempt, class SseSplitter &splitter, std::string_view data);
     void onEnd(AttemptId attempt, const HttpCallEnd &end);
 
-    bool mustPause();
+    bool pauseIfBufferFull();
     Signal onEvent(AttemptId attempt, const SseEvent &event, std::string &out);
     Signal onToken(AttemptId attempt, const SseEvent &event, std::string &out);
-    void act(Signal signal);
+    void handleSignal(Signal signal);
     bool collect(std::string_view data);
-    void passOn(std::string text);
+    void writeToCaller(std::string text);
     void beginStream();
-    void written(std::size_t bytes, bool sent);
-    void noteProgress();
+    void onWritten(std::size_t bytes, bool sent);
+    void recordProgress();
 
-    void lost(bool maySentBytes, const Ending &why);
-    void dropAttempt();
-    void goOn();
+    void onAttemptLost(bool maySentBytes, const FinalStatus &why);
+    void cancelAttempt();
+    void continueAfterWait();
     void sweepCaller(TimePoint now);
     void sweepEngine(TimePoint now);
     void abandon();
     void cancelAtEngine();
     void complete();
-    void finish(const Ending &ending);
-    void finishStream(const Ending &ending);
+    void finish(const FinalStatus &finalStatus);
+    void finishStream(const FinalStatus &finalStatus);
     std::string collectedBody() const;
-    void leaveEngine(Departure how);
+    void releasePlacement(Departure how);
 
     ServeContext &context;
     CallRegistry &registry;
     RequestLog &log;
     Caller caller;
-    GenerationOrder order;
+    GenerationSpec spec;
     const Model *model;
     std::shared_ptr<ResponseWriter> writer;
 
@@ -124,27 +124,27 @@
     StreamRelay relay;
     AttemptId attempt = 0;
     const Engine *engine = nullptr; // within the caller's document
-    std::string handle;             // sealed, of the current generation
+    std::string handle;             // sealed handle of the current generation
     std::string attachEpoch;
     TimePoint attachedAt;
-    int unansweredLosses = 0; // connections that were lost before a token came
+    int unansweredLosses = 0; // connections lost before the first token arrived
     bool generationKnown = false;
-    bool headersGood = false;
+    bool headersAccepted = false;
     bool bodyStarted = false;
-    bool placed = false; // the policy counts this call on an engine
-    int refusedStatus = 0;
+    bool placed = false; // the placement policy counts this call towards an engine
+    int errorStatus = 0;
     int recoveries = 0;
-    Ending lastLoss;
+    FinalStatus lastLoss;
     TimePoint resumeAt;
     TimePoint startedAt;
     TimePoint lastEventAt;
     TimePoint lastWriteAt;
-    TimePoint lostAt;
-    bool everSent; // bytes of this request may have reached an engine
+    TimePoint callerLostAt;
+    bool mayHaveReachedEngine; // bytes of this request may have been sent to an engine
     bool discarding = false;
     RequestRecord record;
 
-    std::string collected; // the text so far, if the caller does not stream
+    std::string collected; // the text received so far, if the caller does not stream
     std::string finishReason;
 
     std::atomic<HttpCallId> httpCall{0};
@@ -153,7 +153,7 @@
     std::atomic<bool> callerLost{false};
 };
 
-// All generations in service on one instance.
+// Thread-safe set of the generations in service on an instance.
 class CallRegistry
 {
 public:
--- a/include/jaytrack/Serve/instance.h
+++ b/include/jaytrack/Serve/instance.h
@@ -1,4 +1,4 @@
-// One entry instance: owns every part and its threads.
+// An instance of the serving system. Owns all of its parts and their threads.
 #ifndef JAYTRACK_SERVE_INSTANCE_H
 #define JAYTRACK_SERVE_INSTANCE_H
 
@@ -13,35 +13,36 @@
 
 namespace jaytrack {
 
-// A running instance. Functions may be called from any thread.
+// Functions may be called from any thread.
 class Instance
 {
 public:
-    // Starts listening. It is not ready before it holds a document.
+    // Starts listening. The instance is not ready until it holds a configuration document.
     static Result<std::unique_ptr<Instance>> start(const Settings &settings, const Clock &clock);
 
     ~Instance();
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    // Begins a graceful shutdown: refuses new requests, lets those in service finish.
+    // Begins a graceful shutdown: refuses new requests and lets requests in service finish.
     void drain();
 
-    // Whether a graceful shutdown has come to its end: every request that has arrived is answered,
-    // and the answers have left or their callers have not taken them within the delivery grace.
-    // After cut() that takes two seconds at most.
+    // Returns true when a graceful shutdown is complete: all received requests are answered, and
+    // each response has been sent or its caller has not read it within the delivery grace period.
+    // Returns true at the latest two seconds after cut().
     bool drained() const;
 
-    // Requests whose answers have not left whole.
+    // Returns the number of requests whose responses have not been sent completely.
     std::size_t unsentAnswers() const;
 
-    // Ends every request at once, naming each in the log. What callers are told still has to leave.
+    // Ends all generations immediately and logs the ID of every request in service. The final
+    // responses still have to be sent; see drained().
     void cut();
 
     bool isReady() const;
     std::uint16_t callerPort() const;
     std::uint16_t peerPort() const;
-    std::uint16_t operatorPort() const; // 0 if there is no operators' listener
+    std::uint16_t operatorPort() const; // 0 if the operators' listener is disabled
 
 private:
     struct Parts;
--- a/include/jaytrack/Serve/operatordesk.h
+++ b/include/jaytrack/Serve/operatorhandler.h
@@ -1,7 +1,7 @@
-// The operators' interface of one instance: metrics, status, explanations, draining. It listens
-// apart from the callers and is meant for the operators' network only.
-#ifndef JAYTRACK_SERVE_OPERATORDESK_H
-#define JAYTRACK_SERVE_OPERATORDESK_H
+// HTTP interface of an instance for operators: metrics, status, the record of a finished request,
+// and draining. It has its own listener, which must be reachable from the operators' network only.
+#ifndef JAYTRACK_SERVE_OPERATORHANDLER_H
+#define JAYTRACK_SERVE_OPERATORHANDLER_H
 
 #include "jaytrack/Http/server.h"
 
@@ -16,7 +16,7 @@
 class PeerNode;
 class Wakefulness;
 
-// The parts that it looks at.
+// The parts of the instance that the operators' interface reads and controls.
 struct OperatorView
 {
     std::string name;
@@ -24,14 +24,14 @@
     PeerNode &peers;
     DocumentStore &documents;
     Metrics &metrics;
-    Wakefulness &wakefulness;
+    Wakefulness &pauseDetector;
     std::function<void()> drain;
 };
 
-class OperatorDesk final : public HttpHandler
+class OperatorHandler final : public HttpHandler
 {
 public:
-    explicit OperatorDesk(OperatorView parts)
+    explicit OperatorHandler(OperatorView parts)
         : view(std::move(parts))
     {
     }
--- a/include/jaytrack/Serve/peernode.h
+++ b/include/jaytrack/Serve/peernode.h
@@ -1,5 +1,5 @@
-// This instance among its peers: membership over UDP, documents over HTTP on the same port number,
-// and the messages of placement in between.
+// Communication of an instance with its peers: membership and policy messages over UDP, and
+// configuration documents over HTTP on the same port number.
 #ifndef JAYTRACK_SERVE_PEERNODE_H
 #define JAYTRACK_SERVE_PEERNODE_H
 
@@ -22,23 +22,22 @@
 
 class DocumentStore;
 
-// What the rest of the instance does when peers say something. Called on the control thread,
-// outside the node's lock.
+// Callbacks for updates from peers. Called on the control thread without holding the node's lock.
 struct PeerNodeEvents
 {
     std::function<void(std::vector<std::string> liveNames)> membersChanged;
     std::function<void(std::string from, std::string message)> policyMessage;
-    std::function<void(TimePoint askedAt)> refreshed;
+    std::function<void(TimePoint requestedAt)> refreshed;
 };
 
-// One row of the operators' view of the fleet.
+// A member of the fleet as the operators' status page shows it.
 struct PeerRow
 {
     Member member;
     bool self = false;
 };
 
-// Its steps run on the control thread; find(), rows() and counts() may be called from any.
+// Runs on the control thread, except for find(), rows() and counts(), which any thread may call.
 class PeerNode final : public PeerDirectory,
                        private PeerTransport,
                        private MembershipListener,
@@ -47,21 +46,21 @@
                        private HttpHandler
 {
 public:
-    PeerNode(asio::io_context &controlContext, const Settings &chosen, const Clock &time,
+    PeerNode(asio::io_context &controlContext, const Settings &instanceSettings, const Clock &time,
              const KeyRing &fleetKeys, DocumentStore &store, HttpClient &httpClient,
              std::int64_t incarnation, PeerNodeEvents handlers);
     ~PeerNode() override;
     PeerNode(const PeerNode &) = delete;
     PeerNode &operator=(const PeerNode &) = delete;
 
-    // Opens both sockets. The callers' address is told to peers.
+    // Opens both sockets. The callers' address is announced to peers.
     Result<void> open(const std::string &callerAddress);
 
     void tick();
     void suggest(const std::vector<std::string> &addresses);
-    void onServiceRevision(std::uint64_t revision, TimePoint askedAt);
+    void onServiceRevision(std::uint64_t revision, TimePoint requestedAt);
 
-    // A newer document has come into force here.
+    // Announces to peers that this instance now uses a newer document.
     void onDocument(std::uint64_t revision);
 
     void goLive();
@@ -70,7 +69,7 @@
     void sendPolicy(const std::string &to, std::string message);
 
     bool mayServe();
-    bool cautious();
+    bool configMayBeStale();
     Duration configAge();
     std::uint16_t port() const { return this->boundPort; }
 
@@ -82,20 +81,20 @@
     Result<void> bindPorts();
     void receiveNext();
     void onDatagram(std::size_t bytes);
-    void afterStep();
-    void askForDocument(const std::string &address);
+    void dispatchEvents();
+    void requestDocument(const std::string &address);
 
     void send(std::string_view address, std::string datagram) override;
     void onMembersChanged() override { this->membersDirty = true; }
     void onPeerHeard(const Member &peer, std::uint64_t revision, Duration age,
-                     TimePoint askedAt) override;
+                     TimePoint requestedAt) override;
     void onPolicyMessage(std::string_view from, std::string_view message) override;
     void offer(std::string_view bytes, std::uint64_t revision, std::string_view source) override;
     std::uint64_t revision() const override;
     void fetchDocument(const std::string &peerAddress) override;
     void handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) override;
 
-    static constexpr std::size_t datagramBound = 65536;
+    static constexpr std::size_t maxDatagramBytes = 65536;
 
     asio::io_context &control;
     const Settings &settings;
@@ -110,14 +109,15 @@
     std::unique_ptr<ConfigSpread> spread;
     bool membersDirty = true;
     std::vector<std::pair<std::string, std::string>> policyMessages;
-    std::vector<std::string> toFetch;
+    std::vector<std::string> pendingFetches;
     std::optional<TimePoint> refreshedAt;
     asio::ip::udp::socket socket;
     asio::ip::udp::endpoint sender;
-    std::array<char, datagramBound> buffer{};
+    std::array<char, maxDatagramBytes> buffer{};
     std::uint16_t boundPort = 0;
     std::unique_ptr<HttpServer> server;
-    std::shared_ptr<bool> alive = std::make_shared<bool>(true); // answers may come after the end
+    std::shared_ptr<bool> alive =
+            std::make_shared<bool>(true); // responses may arrive after destruction
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Serve/platformreader.h
+++ b/include/jaytrack/Serve/platformreader.h
@@ -1,5 +1,5 @@
-// Reads what the platform publishes: the configuration document, by one waiting watch, and the
-// lagging list of instances.
+// Reads the configuration document from the platform by long polling, and the platform's list of
+// instances, which may be out of date.
 #ifndef JAYTRACK_SERVE_PLATFORMREADER_H
 #define JAYTRACK_SERVE_PLATFORMREADER_H
 
@@ -26,31 +26,31 @@
     bool leaving = false;
 };
 
-// Hears what the platform says.
+// Receives the results of the reads.
 class PlatformListener
 {
 public:
     virtual ~PlatformListener() = default;
-    virtual void onDocument(std::string bytes, std::uint64_t revision, TimePoint askedAt) = 0;
+    virtual void onDocument(std::string bytes, std::uint64_t revision, TimePoint requestedAt) = 0;
 
-    // The service answered that nothing is newer than the revision asked about.
-    virtual void onUnchanged(TimePoint askedAt) = 0;
-    virtual void onInstances(std::vector<ListedInstance> instances, TimePoint askedAt) = 0;
+    // The configuration service has no newer revision than the requested one.
+    virtual void onUnchanged(TimePoint requestedAt) = 0;
+    virtual void onInstances(std::vector<ListedInstance> instances, TimePoint requestedAt) = 0;
     virtual std::uint64_t revisionInForce() = 0;
 };
 
-// The platform as an instance sees it.
 class Platform
 {
 public:
     virtual ~Platform() = default;
 
-    // Does what is due; called about ten times a second from one thread.
+    // Starts the reads that are due. Called about 50 times a second from one thread.
     virtual void tick() = 0;
 };
 
-// Reads both over HTTP. At most one read of the document waits at any time; after a failure the
-// next comes after a jittered, doubling pause, so that a fleet does not return in step.
+// Reads both over HTTP. At most one read of the document is in flight at a time. After a failure
+// the next read is delayed by an exponential back-off with jitter, so that the instances of a fleet
+// do not retry at the same time.
 std::unique_ptr<Platform> makeHttpPlatform(HttpClient &client, const Clock &clock,
                                            std::uint64_t seed, std::string configUrl,
                                            std::string instancesUrl, PlatformListener &listener);
--- a/include/jaytrack/Serve/requestlog.h
+++ b/include/jaytrack/Serve/requestlog.h
@@ -1,5 +1,5 @@
-// The requests that ended lately on this instance, so that an operator can ask why each went as it
-// did.
+// Keeps the records of recently finished requests, so that operators can look up how a request was
+// routed and why it ended as it did.
 #ifndef JAYTRACK_SERVE_REQUESTLOG_H
 #define JAYTRACK_SERVE_REQUESTLOG_H
 
@@ -21,14 +21,14 @@
 
 class Metrics;
 
-// What is kept of one request.
+// Record of a finished request.
 struct RequestRecord
 {
     std::string id;
     std::string customer;
     std::string subject; // model, or service with method
     std::string target;
-    std::string reason; // why it went where it went
+    std::string reason; // why this target was chosen, and details of the result
     ResultCode code = ResultCode::Ok;
     std::uint64_t revision = 0;
     std::uint64_t tokens = 0;
@@ -36,11 +36,12 @@
     Duration firstByte{0};
     Duration total{0};
     Duration longestStall{0};
-    std::string levelSubject; // the model's or service's name
+    std::string levelSubject; // name of the model or service for the service level
     ServiceLevel level;
 };
 
-// Writes the log line and metrics of each request that ends, and remembers the last of them.
+// Writes the log line and the metrics of each finished request and keeps the records of the last
+// 4096.
 class RequestLog
 {
 public:
@@ -55,7 +56,7 @@
     std::vector<BurnRow> burn() const;
 
 private:
-    static constexpr std::size_t kept = 4096;
+    static constexpr std::size_t maxRecords = 4096;
 
     Metrics &metrics;
     mutable std::mutex mutex;
--- a/include/jaytrack/Serve/servicecall.h
+++ b/include/jaytrack/Serve/servicehandler.h
@@ -1,7 +1,7 @@
-// Requests to the plain services: routed, repeated only where that is safe, and run at most once
-// under a ticket where it is not.
-#ifndef JAYTRACK_SERVE_SERVICECALL_H
-#define JAYTRACK_SERVE_SERVICECALL_H
+// Requests to the plain services. Routes them to targets, retries only where that is safe, and runs
+// all other requests at most once under a ticket.
+#ifndef JAYTRACK_SERVE_SERVICEHANDLER_H
+#define JAYTRACK_SERVE_SERVICEHANDLER_H
 
 #include "jaytrack/Http/client.h"
 #include "jaytrack/Http/server.h"
@@ -23,25 +23,26 @@
 
 namespace jaytrack {
 
-// Serves the requests to all plain services of one instance. Functions may be called from any
+// Serves the requests to all plain services of an instance. Functions may be called from any
 // thread.
-class ServiceDesk
+class ServiceHandler
 {
 public:
-    ServiceDesk(ServeContext &context, RequestLog &log);
+    ServiceHandler(ServeContext &context, RequestLog &log);
 
-    // Takes a request to a service of the caller's document. The path is the one at the target.
+    // Starts serving a request to a service of the caller's document. The path is the path at the
+    // target.
     void handle(Caller caller, const Service &service, std::string path, HttpRequest request,
                 std::shared_ptr<ResponseWriter> writer);
 
-    // Sends on what was held back and has come due. Called some times a second.
+    // Sends delayed requests that are due. Called several times a second.
     void sweep();
 
     std::size_t inService() const;
     std::size_t ledgerSize() const;
     std::size_t ledgerBytes() const;
 
-    // Names every request in service in the log, before they are cut.
+    // Logs the ID of every request in service before the instance stops without waiting for them.
     void logInService() const;
 
 private:
@@ -51,36 +52,36 @@
     using CallPointer = std::shared_ptr<Call>;
 
     void runTicketed(const CallPointer &call, const std::string &sealed);
-    void runMine(const CallPointer &call, const Ticket &ticket);
+    void runAsIssuer(const CallPointer &call, const Ticket &ticket);
     void forward(const CallPointer &call, const Ticket &ticket);
     void offerTicket(const CallPointer &call);
     void attempt(const CallPointer &call);
     void onPermit(const CallPointer &call, const ServiceTarget &target, const Permit &permit);
     void send(const CallPointer &call, const ServiceTarget &target);
-    Duration restOf(const ServiceTarget &target) const;
-    void hearLimit(const Call &call, const ServiceTarget &target, const FetchedAnswer &answer);
+    Duration unavailableFor(const ServiceTarget &target) const;
+    void updateLimit(const Call &call, const ServiceTarget &target, const FetchedAnswer &answer);
     void onAnswer(const CallPointer &call, const ServiceTarget &target,
                   const FetchedAnswer &answer);
     void onForwarded(const CallPointer &call, FetchedAnswer answer);
     Duration barredFor(const Call &call) const;
-    void noteRun(Call &call, const ServiceTarget &target, const FetchedAnswer &answer) const;
+    void recordAttempt(Call &call, const ServiceTarget &target, const FetchedAnswer &answer) const;
     bool mayRepeat(const CallPointer &call, const FetchedAnswer &answer);
     const ServiceTarget *chooseTarget(const Call &call);
-    Duration shortestRest(const Call &call) const;
+    Duration shortestUnavailability(const Call &call) const;
     void settle(const CallPointer &call, const KeptAnswer &answer);
-    void refuse(const CallPointer &call, const Ending &ending);
-    void tellWaiters(std::int64_t serial, const KeptAnswer &answer);
+    void refuse(const CallPointer &call, const FinalStatus &finalStatus);
+    void notifyWaiters(std::int64_t serial, const KeptAnswer &answer);
     void answer(const CallPointer &call, const KeptAnswer &answer);
     void end(const CallPointer &call, ResultCode code);
 
     ServeContext &context;
     RequestLog &log;
-    mutable std::mutex mutex; // guards all below
+    mutable std::mutex mutex; // guards all members below
     TicketLedger ledger;
     TargetHealth health;
     TargetPauses pauses;
     std::unordered_map<std::int64_t, std::vector<CallPointer>> waiters;
-    std::deque<std::pair<TimePoint, CallPointer>> heldBack; // with the moment of sending
+    std::deque<std::pair<TimePoint, CallPointer>> delayed; // with the time at which each is sent
     std::unordered_map<std::string, std::weak_ptr<Call>> active;
 };
 
--- a/lib/Serve/enginewatcher.cpp
+++ b/lib/Serve/enginewatcher.cpp
@@ -1,8 +1,8 @@
 #include "jaytrack/Serve/enginewatcher.h"
 
 #include "jaytrack/Http/client.h"
-#include "jaytrack/Serve/limitwords.h"
-#include "jaytrack/Serve/placementdesk.h"
+#include "jaytrack/Serve/sharedplacementpolicy.h"
+#include "jaytrack/Serve/targetlimits.h"
 #include "jaytrack/Support/log.h"
 
 #include <nlohmann/json.hpp>
@@ -11,12 +11,13 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds askGap{250};
-constexpr std::chrono::milliseconds answerWait{1000};
-constexpr Duration assumedLag = std::chrono::milliseconds(300); // of what the engines publish
-constexpr int failuresToDeath = 2;
-constexpr std::size_t answerBound = 64U << 10U;
-constexpr int goodStatus = 200;
+constexpr std::chrono::milliseconds pollInterval{250};
+constexpr std::chrono::milliseconds responseTimeout{1000};
+constexpr Duration reportLag =
+        std::chrono::milliseconds(300); // assumed age of the load figures that engines publish
+constexpr int failuresBeforeUnreachable = 2;
+constexpr std::size_t maxResponseBytes = 64U << 10U;
+constexpr int statusOk = 200;
 
 } // namespace
 
@@ -24,12 +25,12 @@
 {
     std::mutex mutex;
     bool ended = false;
-    std::map<std::string, Watched, std::less<>> engines;
+    std::map<std::string, PollState, std::less<>> engines;
 };
 
-EngineWatcher::EngineWatcher(ServeContext &ctx, std::function<bool(std::string_view)> homeTest)
+EngineWatcher::EngineWatcher(ServeContext &ctx, std::function<bool(std::string_view)> homePredicate)
     : context(ctx)
-    , isHome(std::move(homeTest))
+    , isHome(std::move(homePredicate))
     , state(std::make_shared<State>())
 {
 }
@@ -46,75 +47,77 @@
     for (const Engine &engine : document.engines) {
         {
             const std::lock_guard lock(this->state->mutex);
-            Watched &watched = this->state->engines[engine.name];
-            if (watched.asking || now < watched.nextAt)
+            PollState &pollState = this->state->engines[engine.name];
+            if (pollState.pollInFlight || now < pollState.nextAt)
                 continue;
-            watched.nextAt = now + this->context.limits.questionGap(engine.name, askGap);
+            pollState.nextAt = now + this->context.limits.questionGap(engine.name, pollInterval);
         }
         if (this->isHome(engine.name))
-            this->askIfPermitted(engine.name, engine.address);
+            this->pollIfPermitted(engine.name, engine.address);
     }
 }
 
-void EngineWatcher::askIfPermitted(const std::string &name, const std::string &address)
+void EngineWatcher::pollIfPermitted(const std::string &name, const std::string &address)
 {
     {
         const std::lock_guard lock(this->state->mutex);
-        this->state->engines[name].asking = true;
+        this->state->engines[name].pollInFlight = true;
     }
-    const auto goOn = [this, kept = this->state, name, address](const Permit &permit) {
+    const auto onPermit = [this, sharedState = this->state, name, address](const Permit &permit) {
         {
-            const std::lock_guard lock(kept->mutex);
-            if (kept->ended)
+            const std::lock_guard lock(sharedState->mutex);
+            if (sharedState->ended)
                 return;
-            kept->engines[name].asking = permit.granted;
+            sharedState->engines[name].pollInFlight = permit.granted;
         }
         if (permit.granted)
-            this->ask(name, address);
+            this->poll(name, address);
     };
-    if (const auto permit = this->context.limits.request(name, goOn))
-        goOn(*permit);
+    if (const auto permit = this->context.limits.request(name, onPermit))
+        onPermit(*permit);
 }
 
-void EngineWatcher::ask(const std::string &engine, const std::string &address)
+void EngineWatcher::poll(const std::string &engine, const std::string &address)
 {
     HttpCall call;
     call.url = "http://" + address + "/load";
-    call.totalTimeout = answerWait;
+    call.totalTimeout = responseTimeout;
     call.mayRepeat = true;
     const TimePoint askedAt = this->context.clock.now();
-    ServeContext *serve = &this->context;
-    fetchLater(serve->targets, std::move(call), answerBound,
-               [serve, kept = this->state, name = engine, askedAt](const FetchedAnswer &answer) {
-                   hearTargetLimit(serve->limits, name, {answer.end.status, answer.headers});
-                   EngineReport report;
-                   const auto body = nlohmann::json::parse(answer.body, nullptr, false);
-                   const bool good =
-                           answer.end.whole && answer.end.status == goodStatus && body.is_object();
-                   if (good) {
-                       report.memoryUsed = body.value("memory_used", std::uint64_t{0});
-                       report.running = body.value("running", 0U);
-                       report.waiting = body.value("waiting", 0U);
-                       report.leaving = body.value("leaving", false);
-                       report.takenAt = askedAt - assumedLag;
-                   }
-                   const std::lock_guard lock(kept->mutex);
-                   if (kept->ended)
-                       return;
-                   Watched &watched = kept->engines[name];
-                   watched.asking = false;
-                   watched.failures = good ? 0 : watched.failures + 1;
-                   // One lost answer is no death; the engine may be busy and the link lossy.
-                   if (!good && watched.failures < failuresToDeath)
-                       return;
-                   if (watched.failures == failuresToDeath)
-                       logEvent(Severity::Warning, "engine_unreachable",
-                                {{"engine", name}, {"detail", answer.end.error}});
-                   report.alive = good;
-                   serve->placement.with([&name, &report](PlacementPolicy &policy) {
-                       policy.report(name, report);
-                   });
-               });
+    ServeContext *serveContext = &this->context;
+    fetchLater(
+            serveContext->targets, std::move(call), maxResponseBytes,
+            [serveContext, sharedState = this->state, name = engine,
+             askedAt](const FetchedAnswer &answer) {
+                updateTargetLimit(serveContext->limits, name, {answer.end.status, answer.headers});
+                EngineReport report;
+                const auto body = nlohmann::json::parse(answer.body, nullptr, false);
+                const bool succeeded =
+                        answer.end.whole && answer.end.status == statusOk && body.is_object();
+                if (succeeded) {
+                    report.memoryUsed = body.value("memory_used", std::uint64_t{0});
+                    report.running = body.value("running", 0U);
+                    report.waiting = body.value("waiting", 0U);
+                    report.leaving = body.value("leaving", false);
+                    report.takenAt = askedAt - reportLag;
+                }
+                const std::lock_guard lock(sharedState->mutex);
+                if (sharedState->ended)
+                    return;
+                PollState &pollState = sharedState->engines[name];
+                pollState.pollInFlight = false;
+                pollState.failures = succeeded ? 0 : pollState.failures + 1;
+                // A single failed poll does not make the engine unreachable: it may be busy, or
+                // the network may have lost the response.
+                if (!succeeded && pollState.failures < failuresBeforeUnreachable)
+                    return;
+                if (pollState.failures == failuresBeforeUnreachable)
+                    logEvent(Severity::Warning, "engine_unreachable",
+                             {{"engine", name}, {"detail", answer.end.error}});
+                report.alive = succeeded;
+                serveContext->placement.with(
+                        [&name, &report](PlacementPolicy &policy) { policy.report(name, report); });
+            });
 }
 
 } // namespace jaytrack
--- a/lib/Serve/gateway.cpp
+++ b/lib/Serve/gateway.cpp
@@ -18,17 +18,17 @@
 constexpr std::string_view streamsPath = "/v1/streams/";
 constexpr std::string_view chatPath = "/v1/chat/completions";
 constexpr std::string_view textPath = "/v1/completions";
-constexpr std::chrono::milliseconds comeBackSoon{1000};
+constexpr std::chrono::milliseconds retryDelay{1000};
 constexpr std::uint32_t bytesPerToken = 4;
-constexpr std::uint32_t leastPrefixTokens = 16;
+constexpr std::uint32_t minPrefixTokens = 16;
 
-std::uint32_t tokensOf(std::string_view text)
+std::uint32_t estimateTokens(std::string_view text)
 {
     return static_cast<std::uint32_t>(text.size() / bytesPerToken) + 1;
 }
 
-// The text of a chat message, whose content is a string or a list of parts.
-std::string contentOf(const json &message)
+// Returns the text of a chat message. Its content is a string or a list of parts.
+std::string messageText(const json &message)
 {
     if (!message.is_object() || !message.contains("content"))
         return {};
@@ -45,65 +45,65 @@
     return text;
 }
 
-void describePrefix(GenerationAsk &ask, std::string_view prefix)
+void setPrefix(GenerationAsk &placementRequest, std::string_view prefix)
 {
-    const std::uint32_t tokens = tokensOf(prefix);
-    if (tokens < leastPrefixTokens)
+    const std::uint32_t tokens = estimateTokens(prefix);
+    if (tokens < minPrefixTokens)
         return;
-    ask.prefixTokens = tokens;
-    ask.prefixHash = placementHash(prefix);
+    placementRequest.prefixTokens = tokens;
+    placementRequest.prefixHash = placementHash(prefix);
 }
 
-// Reads what placement needs from a chat request: its size and the prefix that it may share.
-bool describeChat(const json &body, GenerationAsk &ask)
+// Sets the prompt size and the prefix that the request may share with others. Placement needs both.
+bool setChatSize(const json &body, GenerationAsk &placementRequest)
 {
     if (!body.contains("messages") || !body["messages"].is_array() || body["messages"].empty())
         return false;
     std::uint32_t tokens = 0;
     for (const json &message : body["messages"])
-        tokens += tokensOf(contentOf(message));
-    ask.promptTokens = tokens;
+        tokens += estimateTokens(messageText(message));
+    placementRequest.promptTokens = tokens;
     if (body["messages"].size() > 1)
-        describePrefix(ask, contentOf(body["messages"][0]));
+        setPrefix(placementRequest, messageText(body["messages"][0]));
     return true;
 }
 
-bool describeText(const json &body, GenerationAsk &ask)
+bool setTextSize(const json &body, GenerationAsk &placementRequest)
 {
     static constexpr std::size_t prefixBytes = 1024;
     if (!body.contains("prompt") || !body["prompt"].is_string())
         return false;
     const auto prompt = body["prompt"].get<std::string>();
-    ask.promptTokens = tokensOf(prompt);
+    placementRequest.promptTokens = estimateTokens(prompt);
     if (prompt.size() > prefixBytes)
-        describePrefix(ask, std::string_view(prompt).substr(0, prefixBytes));
+        setPrefix(placementRequest, std::string_view(prompt).substr(0, prefixBytes));
     return true;
 }
 
-// Fills an order from the body of a completion request. Fails with words for the caller.
-Result<GenerationOrder> readOrder(const HttpRequest &request)
+// Parses the body of a completion request. The error detail is meant for the caller.
+Result<GenerationSpec> parseSpec(const HttpRequest &request)
 {
     json body = json::parse(request.body, nullptr, false);
     if (!body.is_object())
-        return Error{ResultCode::BadRequest, "the body is not a JSON object"};
+        return Error{ResultCode::BadRequest, "the request body is not a JSON object"};
     if (!body.contains("model") || !body["model"].is_string())
         return Error{ResultCode::BadRequest, "model must be a string"};
-    GenerationOrder order;
-    order.path = request.path;
-    order.chat = request.path == chatPath;
-    order.ask.model = body["model"].get<std::string>();
-    if (order.chat && !describeChat(body, order.ask))
-        return Error{ResultCode::BadRequest, "messages must be a list that is not empty"};
-    if (!order.chat && !describeText(body, order.ask))
+    GenerationSpec spec;
+    spec.path = request.path;
+    spec.chat = request.path == chatPath;
+    spec.placementRequest.model = body["model"].get<std::string>();
+    if (spec.chat && !setChatSize(body, spec.placementRequest))
+        return Error{ResultCode::BadRequest, "messages must be a non-empty array"};
+    if (!spec.chat && !setTextSize(body, spec.placementRequest))
         return Error{ResultCode::BadRequest, "prompt must be a string"};
     if (body.contains("stream") && !body["stream"].is_boolean())
         return Error{ResultCode::BadRequest, "stream must be true or false"};
-    order.wantsStream = body.value("stream", false);
+    spec.wantsStream = body.value("stream", false);
     if (body.contains("max_tokens") && body["max_tokens"].is_number_unsigned())
-        order.ask.maxTokens = body["max_tokens"].get<std::uint32_t>();
+        spec.placementRequest.maxTokens = body["max_tokens"].get<std::uint32_t>();
     body["stream"] = true;
-    order.body = body.dump();
-    return order;
+    spec.body = body.dump();
+    return spec;
 }
 
 std::string bearerKey(const HttpRequest &request)
@@ -155,7 +155,7 @@
     , documents(store)
     , meter(std::make_shared<AdmissionMeter>(ctx.settings.maxRequests))
     , log(ctx.metrics, ctx.clock)
-    , serviceDesk(ctx, this->log)
+    , serviceHandler(ctx, this->log)
 {
 }
 
@@ -167,7 +167,7 @@
     }
     Caller caller;
     caller.requestId = this->context.newRequestId();
-    Ending refusal;
+    FinalStatus refusal;
     if (!this->identify(request, caller, refusal)) {
         this->context.metrics.count("jaytrack_refused_total{code=\"" +
                                     std::to_string(static_cast<int>(refusal.code)) + "\"}");
@@ -194,23 +194,25 @@
     writer.respond(good ? 200 : unavailable, headers, good ? "ok\n" : "not ready\n");
 }
 
-bool Gateway::identify(const HttpRequest &request, Caller &caller, Ending &refusal)
+bool Gateway::identify(const HttpRequest &request, Caller &caller, FinalStatus &refusal)
 {
-    // A ticket of this incarnation can run nowhere else, so it is still good while others drain.
+    // A ticket of this incarnation cannot run on another instance, so requests with a ticket are
+    // accepted while the instance drains.
     const bool ticketed = !request.header(ticketHeader).empty() ||
                           request.query.find("jaytrack_ticket=") != std::string::npos;
     if (this->draining.load() && !ticketed) {
-        refusal = {ResultCode::Draining, "", comeBackSoon};
+        refusal = {ResultCode::Draining, "", retryDelay};
         return false;
     }
     caller.document = this->documents.current();
     if (!caller.document || !this->ready.load()) {
-        refusal = {ResultCode::NotReady, "", comeBackSoon};
+        refusal = {ResultCode::NotReady, "", retryDelay};
         return false;
     }
-    // Even a refusal would rest on old knowledge here, so it is the one that asks to come again.
-    if (!this->context.wakefulness.mayAct()) {
-        refusal = {ResultCode::AsleepTooLong, "", comeBackSoon};
+    // After a long pause of the process even a refusal could be based on outdated data, so the
+    // caller is told to retry.
+    if (!this->context.pauseDetector.mayAct()) {
+        refusal = {ResultCode::AsleepTooLong, "", retryDelay};
         return false;
     }
     caller.customer = caller.document->findCustomerByDigest(sha256Hex(bearerKey(request)));
@@ -221,7 +223,7 @@
     ResultCode code = ResultCode::Ok;
     caller.admission = this->meter->admit(*caller.customer, code);
     if (!caller.admission) {
-        refusal = {code, "", comeBackSoon};
+        refusal = {code, "", retryDelay};
         return false;
     }
     return true;
@@ -240,33 +242,33 @@
 void Gateway::handleCompletion(Caller caller, const HttpRequest &request,
                                std::shared_ptr<ResponseWriter> writer)
 {
-    // A client that reconnects by repeating its POST says where it stands; starting another
-    // generation for it would hand it the tokens of two.
+    // A client that reconnects by repeating its POST sends the ID of the last event it received.
+    // Starting a second generation would give it the tokens of two generations.
     const std::string_view cursor = request.header("Last-Event-ID");
     if (!cursor.empty()) {
         this->handleResume(std::move(caller), "", request, std::move(writer));
         return;
     }
-    Result<GenerationOrder> order = readOrder(request);
-    if (!order) {
-        answerError(*writer, {order.error().code, order.error().detail, {}}, caller.requestId);
+    Result<GenerationSpec> spec = parseSpec(request);
+    if (!spec) {
+        answerError(*writer, {spec.error().code, spec.error().detail, {}}, caller.requestId);
         return;
     }
-    const Model *model = caller.document->findModel(order.value().ask.model);
+    const Model *model = caller.document->findModel(spec.value().placementRequest.model);
     if (model == nullptr) {
-        answerError(*writer, {ResultCode::UnknownModel, order.value().ask.model, {}},
+        answerError(*writer, {ResultCode::UnknownModel, spec.value().placementRequest.model, {}},
                     caller.requestId);
         return;
     }
-    GenerationAsk &ask = order.value().ask;
-    ask.id = this->context.nextRequest.fetch_add(1);
-    ask.customer = caller.customer->name;
-    ask.weight = caller.customer->weight;
-    ask.priority = model->priority;
-    ask.mayWait = model->mayWait;
-    ask.maxWait = model->maxWait;
-    ask.overflowBound = model->overflowBound;
-    this->startGeneration(std::move(caller), std::move(order.value()), std::move(writer));
+    GenerationAsk &placementRequest = spec.value().placementRequest;
+    placementRequest.id = this->context.nextRequest.fetch_add(1);
+    placementRequest.customer = caller.customer->name;
+    placementRequest.weight = caller.customer->weight;
+    placementRequest.priority = model->priority;
+    placementRequest.mayWait = model->mayWait;
+    placementRequest.maxWait = model->maxWait;
+    placementRequest.overflowBound = model->overflowBound;
+    this->startGeneration(std::move(caller), std::move(spec.value()), std::move(writer));
 }
 
 void Gateway::handleResume(Caller caller, std::string_view handleText, const HttpRequest &request,
@@ -288,22 +290,22 @@
         answerError(*writer, {ResultCode::ForeignHandle, "", {}}, caller.requestId);
         return;
     }
-    GenerationOrder order;
-    order.ask.model = handle->model;
-    order.ask.id = this->context.nextRequest.fetch_add(1);
-    order.ask.customer = caller.customer->name;
-    order.resumed = handle;
-    order.firstIndex = cursor ? cursor->index + 1 : 0;
+    GenerationSpec spec;
+    spec.placementRequest.model = handle->model;
+    spec.placementRequest.id = this->context.nextRequest.fetch_add(1);
+    spec.placementRequest.customer = caller.customer->name;
+    spec.resumed = handle;
+    spec.firstIndex = cursor ? cursor->index + 1 : 0;
     this->context.metrics.count("jaytrack_resumes_total");
-    this->startGeneration(std::move(caller), std::move(order), std::move(writer));
+    this->startGeneration(std::move(caller), std::move(spec), std::move(writer));
 }
 
-void Gateway::startGeneration(Caller caller, GenerationOrder order,
+void Gateway::startGeneration(Caller caller, GenerationSpec spec,
                               std::shared_ptr<ResponseWriter> writer)
 {
-    const auto call = std::make_shared<GenerationCall>(this->context, this->registry, this->log,
-                                                       std::move(caller), std::move(order),
-                                                       std::move(writer));
+    const auto call =
+            std::make_shared<GenerationCall>(this->context, this->registry, this->log,
+                                             std::move(caller), std::move(spec), std::move(writer));
     call->start();
 }
 
@@ -321,15 +323,15 @@
         return;
     }
     std::string rest(slash == std::string_view::npos ? std::string_view("/") : path.substr(slash));
-    this->serviceDesk.handle(std::move(caller), *service, std::move(rest), std::move(request),
-                             std::move(writer));
+    this->serviceHandler.handle(std::move(caller), *service, std::move(rest), std::move(request),
+                                std::move(writer));
 }
 
 void Gateway::sweep()
 {
     for (const auto &call : this->registry.all())
         call->sweep();
-    this->serviceDesk.sweep();
+    this->serviceHandler.sweep();
 }
 
 void Gateway::withdraw(std::string_view digest)
@@ -347,7 +349,7 @@
 {
     for (const auto &call : this->registry.all())
         call->cut();
-    this->serviceDesk.logInService();
+    this->serviceHandler.logInService();
 }
 
 } // namespace jaytrack
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -4,8 +4,8 @@
 #include "jaytrack/Config/settings.h"
 #include "jaytrack/Quarantine/crashwatch.h"
 #include "jaytrack/Quarantine/requestdigest.h"
-#include "jaytrack/Serve/limitwords.h"
-#include "jaytrack/Serve/placementdesk.h"
+#include "jaytrack/Serve/sharedplacementpolicy.h"
+#include "jaytrack/Serve/targetlimits.h"
 #include "jaytrack/Stream/sse.h"
 #include "jaytrack/Support/log.h"
 #include "jaytrack/Support/metrics.h"
@@ -20,11 +20,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds resumeBackoff{150};
-constexpr std::chrono::seconds keepAliveGap{5};
-constexpr std::chrono::milliseconds connectBound{500};
-// An engine that names a limit takes the order to cancel in its turn, but not for ever.
-constexpr std::chrono::seconds cancelPatience{5};
-constexpr std::string_view doneMark = "[DONE]";
+constexpr std::chrono::seconds keepAliveInterval{5};
+constexpr std::chrono::milliseconds engineConnectTimeout{500};
+// Cancel requests to an engine with a rate limit wait for a permit for at most this time.
+constexpr std::chrono::seconds cancelPermitTimeout{5};
+constexpr std::string_view doneMarker = "[DONE]";
 constexpr std::string_view generationHeader = "Engine-Generation";
 constexpr std::string_view attachHeader = "Engine-Attach";
 constexpr std::string_view refusedHeader = "Engine-Refused";
@@ -34,8 +34,8 @@
 
 } // namespace
 
-// Receives one attempt's answer and hands it to the call with the attempt's number, by which the
-// call recognises what comes late from an attempt that it has given up.
+// Forwards the response of one attempt to the call together with the attempt's ID. The call uses
+// the ID to ignore late data of an abandoned attempt.
 class GenerationCall::Attempt final : public HttpCallListener
 {
 public:
@@ -64,26 +64,26 @@
 };
 
 GenerationCall::GenerationCall(ServeContext &ctx, CallRegistry &calls, RequestLog &requestLog,
-                               Caller who, GenerationOrder what,
+                               Caller requester, GenerationSpec parsedSpec,
                                std::shared_ptr<ResponseWriter> answer)
     : context(ctx)
     , registry(calls)
     , log(requestLog)
-    , caller(std::move(who))
-    , order(std::move(what))
-    , model(this->caller.document->findModel(this->order.ask.model))
+    , caller(std::move(requester))
+    , spec(std::move(parsedSpec))
+    , model(this->caller.document->findModel(this->spec.placementRequest.model))
     , writer(std::move(answer))
-    , relay(this->order.firstIndex)
+    , relay(this->spec.firstIndex)
     , startedAt(ctx.clock.now())
     , lastEventAt(this->startedAt)
     , lastWriteAt(this->startedAt)
-    , everSent(this->order.resumed.has_value())
+    , mayHaveReachedEngine(this->spec.resumed.has_value())
 {
-    assert(this->model && "the gateway checked the model");
+    assert(this->model && "the gateway rejects unknown models");
     this->record.id = this->caller.requestId;
     this->record.customer = this->caller.customer->name;
-    this->record.subject = this->order.ask.model;
-    this->record.levelSubject = this->order.ask.model;
+    this->record.subject = this->spec.placementRequest.model;
+    this->record.levelSubject = this->spec.placementRequest.model;
     this->record.level = {this->model->firstTokenObjective, this->model->stallObjective,
                           this->model->objectiveShare};
     this->record.revision = this->caller.document->revision;
@@ -92,82 +92,87 @@
 void GenerationCall::start()
 {
     this->registry.add(this->shared_from_this());
-    if (!this->order.resumed && this->refusedAsBarred())
+    if (!this->spec.resumed && this->finishIfBarred())
         return;
     const std::lock_guard lock(this->mutex);
-    if (!this->order.resumed) {
+    if (!this->spec.resumed) {
         this->place();
         return;
     }
-    this->record.reason = "resumed at its engine";
-    const Engine *holder = this->caller.document->findEngine(this->order.resumed->engine);
-    if (holder == nullptr) {
-        this->finish({ResultCode::GenerationGone, "its engine is no longer listed", {}});
+    this->record.reason = "resumed at the engine that runs it";
+    const Engine *generationEngine = this->caller.document->findEngine(this->spec.resumed->engine);
+    if (generationEngine == nullptr) {
+        this->finish({ResultCode::GenerationGone,
+                      "the engine of the generation is no longer listed",
+                      {}});
         return;
     }
     this->generationKnown = true;
-    this->attach(*holder, true);
+    this->attach(*generationEngine, true);
 }
 
 std::string GenerationCall::digest() const
 {
     return requestDigest(
-            {"POST", {}, this->order.path, this->caller.customer->name, this->order.body});
+            {"POST", {}, this->spec.path, this->caller.customer->name, this->spec.body});
 }
 
-bool GenerationCall::refusedAsBarred()
+bool GenerationCall::finishIfBarred()
 {
-    if (this->order.resumed || this->context.crashes.isIdle())
+    if (this->spec.resumed || this->context.crashes.isIdle())
         return false;
-    const Duration left = this->context.crashes.barredFor(this->digest());
-    if (left <= Duration(0))
+    const Duration remaining = this->context.crashes.barredFor(this->digest());
+    if (remaining <= Duration(0))
         return false;
     const std::lock_guard lock(this->mutex);
     if (this->phase != Phase::Ended)
-        this->finish({ResultCode::RequestBarred, "engines ended under it",
-                      std::chrono::duration_cast<std::chrono::milliseconds>(left)});
+        this->finish({ResultCode::RequestBarred, "engines crashed while they ran this request",
+                      std::chrono::duration_cast<std::chrono::milliseconds>(remaining)});
     return true;
 }
 
 void GenerationCall::withdraw(std::string_view barredDigest)
 {
-    if (this->order.resumed || this->digest() != barredDigest)
+    if (this->spec.resumed || this->digest() != barredDigest)
         return;
     const std::lock_guard lock(this->mutex);
-    if (this->phase == Phase::Ended || this->relay.nextIndex() > this->order.firstIndex)
+    if (this->phase == Phase::Ended || this->relay.nextIndex() > this->spec.firstIndex)
         return;
-    this->everSent = this->everSent || this->phase == Phase::Relaying;
-    this->dropAttempt();
-    this->leaveEngine(Departure::Cancelled);
-    this->finish({ResultCode::RequestBarred, "engines ended under it",
+    this->mayHaveReachedEngine = this->mayHaveReachedEngine || this->phase == Phase::Relaying;
+    this->cancelAttempt();
+    this->releasePlacement(Departure::Cancelled);
+    this->finish({ResultCode::RequestBarred, "engines crashed while they ran this request",
                   std::chrono::duration_cast<std::chrono::milliseconds>(
                           this->context.crashes.barredFor(barredDigest))});
 }
 
-// Engines of the model that name limits which are used up for now.
-std::vector<std::string> GenerationCall::restingEngines() const
+// Returns the model's engines whose rate limit is exhausted at the moment.
+std::vector<std::string> GenerationCall::rateLimitedEngines() const
 {
     std::vector<std::string> names;
-    for (const Engine &one : this->caller.document->engines) {
-        const bool fits = one.model == this->order.ask.model && !one.leaving;
-        if (fits && this->context.limits.rest(one.name) > Duration(0))
-            names.push_back(one.name);
+    for (const Engine &candidate : this->caller.document->engines) {
+        const bool isCandidate =
+                candidate.model == this->spec.placementRequest.model && !candidate.leaving;
+        if (isCandidate && this->context.limits.rest(candidate.name) > Duration(0))
+            names.push_back(candidate.name);
     }
     return names;
 }
 
-// Where all engines that are left name limits, the call waits for the first of them if it may, or
-// is refused at once.
-bool GenerationCall::waitsForLimits()
+// If the rate limits of all remaining engines are exhausted, the call waits for the first engine to
+// become available, or is refused immediately if that exceeds its maximum wait. Returns true in
+// both cases.
+bool GenerationCall::deferForRateLimits()
 {
-    const auto &avoid = this->order.ask.avoid;
+    const auto &avoid = this->spec.placementRequest.avoid;
     std::optional<Duration> shortest;
-    for (const Engine &one : this->caller.document->engines) {
-        const bool fits = one.model == this->order.ask.model && !one.leaving &&
-                          std::find(avoid.begin(), avoid.end(), one.name) == avoid.end();
-        if (!fits)
+    for (const Engine &candidate : this->caller.document->engines) {
+        const bool isCandidate =
+                candidate.model == this->spec.placementRequest.model && !candidate.leaving &&
+                std::find(avoid.begin(), avoid.end(), candidate.name) == avoid.end();
+        if (!isCandidate)
             continue;
-        const Duration rest = this->context.limits.rest(one.name);
+        const Duration rest = this->context.limits.rest(candidate.name);
         if (rest == Duration(0))
             return false;
         shortest = std::min(shortest.value_or(rest), rest);
@@ -175,29 +180,29 @@
     if (!shortest)
         return false;
     const TimePoint now = this->context.clock.now();
-    const GenerationAsk &ask = this->order.ask;
-    const Duration patience = ask.mayWait ? ask.maxWait : Duration(0);
-    if (now + *shortest > this->startedAt + patience) {
-        this->finish({ResultCode::Overloaded, "the engines name limits",
+    const GenerationAsk &placementRequest = this->spec.placementRequest;
+    const Duration maxWaitTime = placementRequest.mayWait ? placementRequest.maxWait : Duration(0);
+    if (now + *shortest > this->startedAt + maxWaitTime) {
+        this->finish({ResultCode::Overloaded, "the rate limits of all engines are exhausted",
                       std::chrono::duration_cast<std::chrono::milliseconds>(*shortest)});
         return true;
     }
     this->engine = nullptr;
-    this->phase = Phase::Pausing;
+    this->phase = Phase::Waiting;
     this->resumeAt = now + *shortest;
     return true;
 }
 
 void GenerationCall::place()
 {
-    if (this->waitsForLimits())
+    if (this->deferForRateLimits())
         return;
     this->phase = Phase::Placing;
-    GenerationAsk ask = this->order.ask;
-    for (std::string &name : this->restingEngines())
-        ask.avoid.push_back(std::move(name));
+    GenerationAsk placementRequest = this->spec.placementRequest;
+    for (std::string &name : this->rateLimitedEngines())
+        placementRequest.avoid.push_back(std::move(name));
     const std::weak_ptr<GenerationCall> self = this->weak_from_this();
-    this->context.placement.submit(ask, [self](const Placement &placement) {
+    this->context.placement.submit(placementRequest, [self](const Placement &placement) {
         if (const auto call = self.lock())
             call->onPlaced(placement);
     });
@@ -209,7 +214,7 @@
     if (this->phase != Phase::Placing) {
         if (placement.code == ResultCode::Ok) {
             this->context.placement.with([this](PlacementPolicy &policy) {
-                policy.departed(this->order.ask.id, Departure::Cancelled, 0);
+                policy.departed(this->spec.placementRequest.id, Departure::Cancelled, 0);
             });
         }
         return;
@@ -218,16 +223,18 @@
     if (placement.code != ResultCode::Ok) {
         const auto retry =
                 std::chrono::duration_cast<std::chrono::milliseconds>(placement.retryAfter);
-        const Ending refusal{placement.code, placement.reason, retry};
+        const FinalStatus refusal{placement.code, placement.reason, retry};
         this->finish(this->lastLoss.code == ResultCode::Ok ? refusal : this->lastLoss);
         return;
     }
     this->placed = true;
     const Engine *chosen = this->caller.document->findEngine(placement.engine);
-    // The policy follows the newest document, this request stays under its own; an engine that is
-    // new since then is not known here and cannot be used for it.
+    // The policy uses the newest document, whereas the request keeps the document it started with.
+    // An engine that was added since is missing there and cannot be used for this request.
     if (chosen == nullptr) {
-        this->lost(false, {ResultCode::NoTarget, "the engine is newer than the request", {}});
+        this->onAttemptLost(false, {ResultCode::NoTarget,
+                                    "the chosen engine is missing from the document of the request",
+                                    {}});
         return;
     }
     this->attach(*chosen, false);
@@ -237,43 +244,43 @@
 {
     HttpCall call;
     call.method = "POST";
-    call.url = "http://" + chosen.address + this->order.path;
+    call.url = "http://" + chosen.address + this->spec.path;
     call.headers = {{"Content-Type", "application/json"}, {"X-Request-Id", this->caller.requestId}};
-    call.body = this->order.body;
-    call.connectTimeout = connectBound;
+    call.body = this->spec.body;
+    call.connectTimeout = engineConnectTimeout;
     return call;
 }
 
-HttpCall GenerationCall::resumeCall(const Engine &holder) const
+HttpCall GenerationCall::resumeCall(const Engine &generationEngine) const
 {
     const std::string name =
-            this->order.resumed ? this->order.resumed->generation : this->relay.generation();
+            this->spec.resumed ? this->spec.resumed->generation : this->relay.generation();
     HttpCall call;
-    call.url = "http://" + holder.address + "/v1/generations/" + name +
+    call.url = "http://" + generationEngine.address + "/v1/generations/" + name +
                "/events?from=" + std::to_string(this->relay.nextIndex());
-    call.connectTimeout = connectBound;
+    call.connectTimeout = engineConnectTimeout;
     call.mayRepeat = true;
     return call;
 }
 
 void GenerationCall::attach(const Engine &chosen, bool resume)
 {
-    // A process that was stopped just before this line wakes up with an old choice of engine in
-    // its hands. Sending it would put work on a target that may have left meanwhile.
-    if (!this->context.wakefulness.mayAct()) {
+    // If the process was paused just before this check, the choice of engine may be outdated.
+    // Sending the request would put work on a target that may have left meanwhile.
+    if (!this->context.pauseDetector.mayAct()) {
         this->engine = &chosen;
-        this->lost(false, {ResultCode::AsleepTooLong, "", std::chrono::seconds(1)});
+        this->onAttemptLost(false, {ResultCode::AsleepTooLong, "", std::chrono::seconds(1)});
         return;
     }
     this->engine = &chosen;
-    this->phase = Phase::Asking;
+    this->phase = Phase::AwaitingPermit;
     const std::weak_ptr<GenerationCall> self = this->weak_from_this();
     const auto later = [self, resume](const Permit &permit) {
         const auto call = self.lock();
         if (!call)
             return;
         const std::lock_guard lock(call->mutex);
-        if (call->phase == Phase::Asking)
+        if (call->phase == Phase::AwaitingPermit)
             call->onPermit(permit, resume);
     };
     if (const auto permit = this->context.limits.request(chosen.name, later))
@@ -288,12 +295,12 @@
     }
     logPermitDenied(this->caller.requestId, this->engine->name, permit);
     if (resume) {
-        // Only this engine has the generation.
-        this->phase = Phase::Pausing;
+        // The generation exists on this engine only.
+        this->phase = Phase::Waiting;
         this->resumeAt = this->context.clock.now() + permit.wait;
         return;
     }
-    this->leaveEngine(Departure::Cancelled);
+    this->releasePlacement(Departure::Cancelled);
     this->engine = nullptr;
     this->place();
 }
@@ -302,8 +309,8 @@
 {
     this->record.target = this->engine->name;
     this->phase = Phase::Relaying;
-    this->headersGood = false;
-    this->refusedStatus = 0;
+    this->headersAccepted = false;
+    this->errorStatus = 0;
     this->attempt = this->relay.beginAttempt();
     this->lastEventAt = this->context.clock.now();
     this->attachedAt = this->lastEventAt;
@@ -319,36 +326,39 @@
     if (this->phase != Phase::Relaying || !this->relay.isCurrent(from))
         return;
     this->lastEventAt = this->context.clock.now();
-    hearTargetLimit(this->context.limits, this->engine->name, {status, headers},
-                    this->lastEventAt - this->attachedAt);
+    updateTargetLimit(this->context.limits, this->engine->name, {status, headers},
+                      this->lastEventAt - this->attachedAt);
     if (status != statusOk) {
         const bool refused = !findHeader(headers, refusedHeader).empty();
-        this->refusedStatus = status == statusUnavailable && !refused ? statusOk + 300 : status;
+        this->errorStatus = status == statusUnavailable && !refused ? statusOk + 300 : status;
         return;
     }
     const std::string name(findHeader(headers, generationHeader));
     if (this->relay.onGeneration(from, name) != FrameVerdict::Pass) {
-        this->lost(true, {ResultCode::TargetGarbled, "another generation under one name", {}});
+        this->onAttemptLost(true, {ResultCode::TargetGarbled,
+                                   "the engine returned a different generation than before",
+                                   {}});
         return;
     }
-    this->headersGood = true;
+    this->headersAccepted = true;
     this->generationKnown = !name.empty();
     this->attachEpoch = findHeader(headers, attachHeader);
     const StreamHandle body{this->engine->name, name, this->caller.customer->name,
-                            this->order.ask.model};
+                            this->spec.placementRequest.model};
     this->handle = body.seal(this->context.keys);
 }
 
-// A slow caller must not make this process hold its whole stream. Declining data stops reading
-// from the engine's connection until enough has left for the caller.
-bool GenerationCall::mustPause()
+// Limits the memory that a slow caller's stream uses in this process. Declining data stops reading
+// from the engine's connection until enough has been sent to the caller.
+bool GenerationCall::pauseIfBufferFull()
 {
-    const std::size_t high = this->context.settings.streamBufferBytes;
-    if (this->discarding || this->unsentBytes.load() <= high)
+    const std::size_t maxUnsentBytes = this->context.settings.streamBufferBytes;
+    if (this->discarding || this->unsentBytes.load() <= maxUnsentBytes)
         return false;
     this->paused.store(true);
-    // The last bytes may have left between the two lines above; nobody would resume then.
-    if (this->unsentBytes.load() <= high / 2 && this->paused.exchange(false))
+    // The last bytes may have been sent between the two lines above. In that case onWritten() would
+    // not be called again to resume the stream.
+    if (this->unsentBytes.load() <= maxUnsentBytes / 2 && this->paused.exchange(false))
         return false;
     return true;
 }
@@ -356,31 +366,31 @@
 bool GenerationCall::onData(AttemptId from, SseSplitter &splitter, std::string_view data)
 {
     const std::lock_guard lock(this->mutex);
-    if (this->phase != Phase::Relaying || !this->relay.isCurrent(from) || !this->headersGood)
+    if (this->phase != Phase::Relaying || !this->relay.isCurrent(from) || !this->headersAccepted)
         return true;
     if (this->callerLost.load() && !this->discarding) {
         this->discarding = true;
-        this->lostAt = this->context.clock.now();
+        this->callerLostAt = this->context.clock.now();
     }
-    if (this->mustPause())
+    if (this->pauseIfBufferFull())
         return false;
-    this->noteProgress();
+    this->recordProgress();
     std::string out;
     Signal signal = Signal::None;
     const bool good = splitter.feed(data, [&](const SseEvent &event) {
         signal = this->onEvent(from, event, out);
         return signal == Signal::None;
     });
-    // What came before the signal is passed on first: it is whole and in order.
+    // Tokens before the signal are complete and in order, so they are written first.
     if (!out.empty() && !this->discarding)
-        this->passOn(std::move(out));
+        this->writeToCaller(std::move(out));
     if (!good && signal == Signal::None)
         signal = Signal::Garbled;
-    this->act(signal);
+    this->handleSignal(signal);
     return true;
 }
 
-void GenerationCall::act(Signal signal)
+void GenerationCall::handleSignal(Signal signal)
 {
     switch (signal) {
     case Signal::None:
@@ -389,23 +399,24 @@
         this->complete();
         return;
     case Signal::Superseded:
-        // Another instance goes on with this stream for the caller, who has left this one.
+        // The caller has resumed this stream at another instance.
         this->discarding = true;
-        this->leaveEngine(Departure::Cancelled);
-        this->dropAttempt();
+        this->releasePlacement(Departure::Cancelled);
+        this->cancelAttempt();
         this->finish({ResultCode::ResumedElsewhere, "", {}});
         return;
     case Signal::Failed:
         this->generationKnown = false;
-        this->lost(true, {ResultCode::TargetLost, "the engine ended the generation", {}});
+        this->onAttemptLost(true, {ResultCode::TargetLost, "the engine ended the generation", {}});
         return;
     case Signal::Garbled:
-        this->lost(true, {ResultCode::TargetGarbled, "the event stream breaks its format", {}});
+        this->onAttemptLost(
+                true, {ResultCode::TargetGarbled, "the engine sent a malformed event stream", {}});
         return;
     }
 }
 
-void GenerationCall::noteProgress()
+void GenerationCall::recordProgress()
 {
     const TimePoint now = this->context.clock.now();
     this->record.longestStall = std::max(this->record.longestStall, now - this->lastEventAt);
@@ -417,7 +428,7 @@
 GenerationCall::Signal GenerationCall::onEvent(AttemptId from, const SseEvent &event,
                                                std::string &out)
 {
-    if (event.data == doneMark)
+    if (event.data == doneMarker)
         return Signal::Done;
     if (event.name == "superseded")
         return Signal::Superseded;
@@ -429,8 +440,8 @@
 GenerationCall::Signal GenerationCall::onToken(AttemptId from, const SseEvent &event,
                                                std::string &out)
 {
-    const std::optional<std::uint64_t> told = parseIndex(event.id);
-    const std::uint64_t index = told ? *told : this->relay.nextIndex();
+    const std::optional<std::uint64_t> parsedIndex = parseIndex(event.id);
+    const std::uint64_t index = parsedIndex ? *parsedIndex : this->relay.nextIndex();
     switch (this->relay.onToken(from, index)) {
     case FrameVerdict::Drop:
         this->context.metrics.count("jaytrack_frames_dropped_total");
@@ -441,7 +452,7 @@
         break;
     }
     ++this->record.tokens;
-    if (!this->order.wantsStream)
+    if (!this->spec.wantsStream)
         return this->collect(event.data) ? Signal::None : Signal::Garbled;
     const std::string cursor = Cursor{this->handle, index}.text();
     out += formatSseEvent({cursor, {}, event.data});
@@ -454,7 +465,7 @@
     if (!chunk.is_object() || !chunk.contains("choices") || chunk["choices"].empty())
         return false;
     const auto &choice = chunk["choices"][0];
-    if (this->order.chat) {
+    if (this->spec.chat) {
         const auto delta = choice.value("delta", nlohmann::json::object());
         this->collected += delta.value("content", std::string());
     } else {
@@ -478,7 +489,7 @@
     this->writer->begin(statusOk, headers);
 }
 
-void GenerationCall::passOn(std::string text)
+void GenerationCall::writeToCaller(std::string text)
 {
     if (!this->bodyStarted)
         this->beginStream();
@@ -488,18 +499,19 @@
     const std::weak_ptr<GenerationCall> self = this->weak_from_this();
     this->writer->write(std::move(text), [self, bytes](bool sent) {
         if (const auto call = self.lock())
-            call->written(bytes, sent);
+            call->onWritten(bytes, sent);
     });
 }
 
-// Called from the server's threads, perhaps while another thread holds the lock; uses atomics only.
-void GenerationCall::written(std::size_t bytes, bool sent)
+// Called from the server's threads, possibly while another thread holds the lock. Uses atomics
+// only.
+void GenerationCall::onWritten(std::size_t bytes, bool sent)
 {
-    const std::size_t left = this->unsentBytes.fetch_sub(bytes) - bytes;
+    const std::size_t remaining = this->unsentBytes.fetch_sub(bytes) - bytes;
     if (!sent)
         this->callerLost.store(true);
-    const bool roomAgain = !sent || left <= this->context.settings.streamBufferBytes / 2;
-    if (roomAgain && this->paused.exchange(false))
+    const bool canResume = !sent || remaining <= this->context.settings.streamBufferBytes / 2;
+    if (canResume && this->paused.exchange(false))
         this->context.targets.resume(this->httpCall.load());
 }
 
@@ -508,35 +520,37 @@
     const std::lock_guard lock(this->mutex);
     if (this->phase != Phase::Relaying || !this->relay.isCurrent(from))
         return;
-    if (this->refusedStatus == statusUnavailable) {
-        // The engine's own word that it took nothing on.
-        this->lost(false, {ResultCode::NoTarget, "the engine refused", std::chrono::seconds(1)});
+    if (this->errorStatus == statusUnavailable) {
+        // The engine itself reports that it did not accept the request.
+        this->onAttemptLost(false, {ResultCode::NoTarget, "the engine refused the request",
+                                    std::chrono::seconds(1)});
         return;
     }
-    if (this->refusedStatus == statusNotFound && this->generationKnown) {
+    if (this->errorStatus == statusNotFound && this->generationKnown) {
         this->generationKnown = false;
-        this->lost(true, {ResultCode::GenerationGone, "", {}});
+        this->onAttemptLost(true, {ResultCode::GenerationGone, "", {}});
         return;
     }
-    if (this->refusedStatus >= 400 && this->refusedStatus < 500) {
-        this->leaveEngine(Departure::Refused);
+    if (this->errorStatus >= 400 && this->errorStatus < 500) {
+        this->releasePlacement(Departure::Refused);
         this->finish({ResultCode::TargetRefused,
-                      "the engine answered " + std::to_string(this->refusedStatus),
+                      "the engine responded with status " + std::to_string(this->errorStatus),
                       {}});
         return;
     }
-    this->noteLostUnanswered(end);
-    const Ending why{end.maySentBytes ? ResultCode::TargetLost : ResultCode::TargetUnreachable,
-                     end.whole ? "the stream ended early" : end.error, std::chrono::seconds(1)};
-    this->lost(end.maySentBytes, why);
+    this->reportUnansweredLoss(end);
+    const FinalStatus why{end.maySentBytes ? ResultCode::TargetLost : ResultCode::TargetUnreachable,
+                          end.whole ? "the engine closed the stream before its end" : end.error,
+                          std::chrono::seconds(1)};
+    this->onAttemptLost(end.maySentBytes, why);
 }
 
-// Whether the engine ended is found out elsewhere; if it did, a request of which no token had come
-// may be what ended it.
-void GenerationCall::noteLostUnanswered(const HttpCallEnd &end)
+// Reports a connection that was lost before the first token. CrashWatch determines whether the
+// engine crashed; if it did, a request without any token may have caused the crash.
+void GenerationCall::reportUnansweredLoss(const HttpCallEnd &end)
 {
-    const bool unanswered = this->relay.nextIndex() == this->order.firstIndex;
-    if (end.whole || !end.maySentBytes || !unanswered || this->order.resumed ||
+    const bool unanswered = this->relay.nextIndex() == this->spec.firstIndex;
+    if (end.whole || !end.maySentBytes || !unanswered || this->spec.resumed ||
         this->engine->leaving)
         return;
     ++this->unansweredLosses;
@@ -544,54 +558,54 @@
                                          this->attachedAt);
 }
 
-void GenerationCall::lost(bool maySentBytes, const Ending &why)
+void GenerationCall::onAttemptLost(bool maySentBytes, const FinalStatus &why)
 {
     LostAttempt attemptLost;
     attemptLost.maySentBytes = maySentBytes;
     attemptLost.engineResumes = this->engine != nullptr && this->engine->can.resume;
     attemptLost.generationKnown = this->generationKnown;
-    // The model may have been declared not repeatable since the last revision that reached us.
+    // A newer revision that has not reached this instance may declare the model not repeatable.
     attemptLost.repeatable =
-            this->model->repeatable && !this->order.resumed && !this->context.cautious();
+            this->model->repeatable && !this->spec.resumed && !this->context.configMayBeStale();
     attemptLost.recoveries = this->recoveries;
     RecoveryStep step = this->relay.recover(attemptLost);
-    if (step == RecoveryStep::Elsewhere && this->order.resumed)
+    if (step == RecoveryStep::Elsewhere && this->spec.resumed)
         step = RecoveryStep::Resume;
     ++this->recoveries;
     this->lastLoss = why;
     const bool sent = maySentBytes || this->generationKnown;
-    this->everSent |= sent;
-    this->dropAttempt();
+    this->mayHaveReachedEngine |= sent;
+    this->cancelAttempt();
     switch (step) {
     case RecoveryStep::Resume:
-        this->phase = Phase::Pausing;
+        this->phase = Phase::Waiting;
         this->resumeAt = this->context.clock.now() + this->recoveries * resumeBackoff;
         return;
     case RecoveryStep::Elsewhere:
     case RecoveryStep::Restart:
         if (sent)
             this->cancelAtEngine();
-        this->leaveEngine(sent ? Departure::Lost : Departure::Refused);
+        this->releasePlacement(sent ? Departure::Lost : Departure::Refused);
         this->relay = StreamRelay(0);
         this->generationKnown = false;
         this->collected.clear();
         if (this->engine != nullptr)
-            this->order.ask.avoid.push_back(this->engine->name);
-        this->phase = Phase::Pausing;
+            this->spec.placementRequest.avoid.push_back(this->engine->name);
+        this->phase = Phase::Waiting;
         this->resumeAt = this->context.clock.now();
         if (this->unansweredLosses >= lossesBeforePause)
             this->resumeAt += verdictTime;
         this->engine = nullptr;
         return;
     case RecoveryStep::GiveUp:
-        this->leaveEngine(Departure::Lost);
+        this->releasePlacement(Departure::Lost);
         this->finish(why);
         return;
     }
 }
 
-// Stops listening to the current attempt; whatever still comes of it is recognised by its number.
-void GenerationCall::dropAttempt()
+// Cancels the current attempt. Its late data is ignored because the attempt ID has changed.
+void GenerationCall::cancelAttempt()
 {
     const HttpCallId call = this->httpCall.exchange(0);
     if (call != 0)
@@ -599,13 +613,13 @@
     this->attempt = this->relay.beginAttempt();
 }
 
-// The epoch makes the engine ignore this order if another instance has attached since: the caller
-// came back there, and its stream must not be cut from here.
+// The epoch makes the engine ignore this request if another instance has attached since. In that
+// case the caller has resumed its stream there, and this instance must not cancel it.
 void GenerationCall::cancelAtEngine()
 {
     if (this->engine == nullptr || !this->engine->can.cancel || this->relay.generation().empty())
         return;
-    if (!this->context.wakefulness.mayAct())
+    if (!this->context.pauseDetector.mayAct())
         return;
     HttpCall call;
     call.method = "DELETE";
@@ -613,42 +627,42 @@
     call.headers = {{std::string(attachHeader), this->attachEpoch}};
     call.totalTimeout = std::chrono::seconds(5);
     call.mayRepeat = true;
-    ServeContext *serve = &this->context;
-    const auto send = [serve, call = std::move(call), id = this->caller.requestId,
+    ServeContext *serveContext = &this->context;
+    const auto send = [serveContext, call = std::move(call), id = this->caller.requestId,
                        name = this->engine->name](bool permitted) {
         static constexpr std::size_t answerBound = 4096;
         if (permitted)
-            fetchLater(serve->targets, call, answerBound, [](const FetchedAnswer &) {});
+            fetchLater(serveContext->targets, call, answerBound, [](const FetchedAnswer &) {});
         else
             logEvent(Severity::Warning, "cancel_dropped", {{"id", id}, {"target", name}});
     };
-    this->context.limits.requestWithin(this->engine->name, cancelPatience, send);
+    this->context.limits.requestWithin(this->engine->name, cancelPermitTimeout, send);
 }
 
-void GenerationCall::leaveEngine(Departure how)
+void GenerationCall::releasePlacement(Departure how)
 {
     if (!this->placed)
         return;
     this->placed = false;
     const auto produced = static_cast<std::uint32_t>(this->relay.nextIndex());
     this->context.placement.with([this, how, produced](PlacementPolicy &policy) {
-        policy.departed(this->order.ask.id, how, produced);
+        policy.departed(this->spec.placementRequest.id, how, produced);
     });
-    // Each placement is an ask of its own, so that a late word on the old one cannot touch the new.
-    this->order.ask.id = this->context.nextRequest.fetch_add(1);
+    // Each placement gets a new ID, so that late updates of the old one cannot affect the new one.
+    this->spec.placementRequest.id = this->context.nextRequest.fetch_add(1);
 }
 
 void GenerationCall::sweep()
 {
     const std::lock_guard lock(this->mutex);
     const TimePoint now = this->context.clock.now();
-    if (this->phase == Phase::Pausing && now >= this->resumeAt)
-        this->goOn();
+    if (this->phase == Phase::Waiting && now >= this->resumeAt)
+        this->continueAfterWait();
     this->sweepCaller(now);
     this->sweepEngine(now);
 }
 
-void GenerationCall::goOn()
+void GenerationCall::continueAfterWait()
 {
     if (this->engine != nullptr) {
         this->attach(*this->engine, true);
@@ -663,23 +677,23 @@
         return;
     if (this->callerLost.load() && !this->discarding) {
         this->discarding = true;
-        this->lostAt = now;
+        this->callerLostAt = now;
     }
-    if (this->discarding && now - this->lostAt > this->context.settings.abandonGrace) {
+    if (this->discarding && now - this->callerLostAt > this->context.settings.abandonGrace) {
         this->abandon();
         return;
     }
-    const bool quiet =
-            this->bodyStarted && !this->discarding && now - this->lastWriteAt > keepAliveGap;
-    if (quiet && this->unsentBytes.load() == 0)
-        this->passOn(": waiting\n\n");
+    const bool idle =
+            this->bodyStarted && !this->discarding && now - this->lastWriteAt > keepAliveInterval;
+    if (idle && this->unsentBytes.load() == 0)
+        this->writeToCaller(": waiting\n\n");
 }
 
 void GenerationCall::abandon()
 {
-    this->dropAttempt();
+    this->cancelAttempt();
     this->cancelAtEngine();
-    this->leaveEngine(Departure::Cancelled);
+    this->releasePlacement(Departure::Cancelled);
     this->finish({ResultCode::CallerLeft, "", {}});
 }
 
@@ -687,18 +701,21 @@
 {
     if (this->phase != Phase::Relaying)
         return;
-    // While a slow caller holds the stream back, the engine's silence is of our own making.
+    // While the stream is paused for a slow caller, this instance reads nothing from the engine, so
+    // the engine must not be timed out.
     if (this->paused.load())
         this->lastEventAt = now;
     if (now - this->lastEventAt > this->model->silenceTimeout) {
-        this->lost(true, {ResultCode::TargetTimeout, "the engine fell silent", {}});
+        this->onAttemptLost(true, {ResultCode::TargetTimeout,
+                                   "the engine sent no data within the silence time-out",
+                                   {}});
         return;
     }
     if (!this->placed)
         return;
     const auto produced = static_cast<std::uint32_t>(this->relay.nextIndex());
     this->context.placement.with([this, produced](PlacementPolicy &policy) {
-        policy.progress(this->order.ask.id, produced);
+        policy.progress(this->spec.placementRequest.id, produced);
     });
 }
 
@@ -708,59 +725,62 @@
     if (this->phase == Phase::Ended)
         return;
     logEvent(Severity::Warning, "request_cut", {{"id", this->caller.requestId}});
-    this->dropAttempt();
-    this->finish({ResultCode::TargetLost, "the instance was stopped at once", {}});
+    this->cancelAttempt();
+    this->finish(
+            {ResultCode::TargetLost, "the instance stopped without waiting for the request", {}});
 }
 
 void GenerationCall::complete()
 {
-    if (!this->order.resumed && !this->context.crashes.isIdle())
+    if (!this->spec.resumed && !this->context.crashes.isIdle())
         this->context.crashes.ranWell(this->digest());
-    this->leaveEngine(Departure::Finished);
-    this->dropAttempt();
+    this->releasePlacement(Departure::Finished);
+    this->cancelAttempt();
     this->finish({ResultCode::Ok, "", {}});
 }
 
-void GenerationCall::finish(const Ending &wanted)
+void GenerationCall::finish(const FinalStatus &requestedStatus)
 {
-    assert(this->phase != Phase::Ended && "a request ends once");
-    Ending ending = wanted;
-    // An earlier attempt reached an engine, so the last one's refusal must not say "not run".
-    if (this->everSent && describe(ending.code).outcome == Outcome::NotRun)
-        ending.code = ResultCode::TargetLost;
+    assert(this->phase != Phase::Ended && "finish() must be called only once");
+    FinalStatus finalStatus = requestedStatus;
+    // If an earlier attempt may have reached an engine, a refusal of the last attempt must not be
+    // reported as "not run".
+    if (this->mayHaveReachedEngine && describe(finalStatus.code).outcome == Outcome::NotRun)
+        finalStatus.code = ResultCode::TargetLost;
     this->phase = Phase::Ended;
-    this->record.code = ending.code;
+    this->record.code = finalStatus.code;
     this->record.recoveries = this->recoveries;
     this->record.total = this->context.clock.now() - this->startedAt;
-    if (!ending.detail.empty())
-        this->record.reason += this->record.reason.empty() ? ending.detail : "; " + ending.detail;
-    if (this->order.wantsStream && (this->bodyStarted || ending.code == ResultCode::Ok)) {
-        this->finishStream(ending);
-    } else if (ending.code == ResultCode::Ok) {
-        std::vector<HttpHeader> headers = outcomeHeaders(ending.code, this->caller.requestId);
+    if (!finalStatus.detail.empty())
+        this->record.reason +=
+                this->record.reason.empty() ? finalStatus.detail : "; " + finalStatus.detail;
+    if (this->spec.wantsStream && (this->bodyStarted || finalStatus.code == ResultCode::Ok)) {
+        this->finishStream(finalStatus);
+    } else if (finalStatus.code == ResultCode::Ok) {
+        std::vector<HttpHeader> headers = outcomeHeaders(finalStatus.code, this->caller.requestId);
         headers.push_back({"Content-Type", "application/json"});
         this->writer->respond(statusOk, headers, this->collectedBody());
     } else {
-        answerError(*this->writer, ending, this->caller.requestId);
+        answerError(*this->writer, finalStatus, this->caller.requestId);
     }
     this->caller.admission.reset();
     this->log.add(this->record);
     this->registry.remove(this);
 }
 
-// A stream that broke must not look like one that ended: only a whole one closes with the mark
-// that clients wait for.
-void GenerationCall::finishStream(const Ending &ending)
+// Clients must be able to tell a broken stream from a complete one, so only a complete stream ends
+// with the marker that clients wait for.
+void GenerationCall::finishStream(const FinalStatus &finalStatus)
 {
     if (!this->bodyStarted)
         this->beginStream();
-    const ResultCodeInfo &info = describe(ending.code);
+    const ResultCodeInfo &info = describe(finalStatus.code);
     std::string last = ": outcome=" + std::string(outcomeName(info.outcome)) +
-                       " code=" + std::to_string(static_cast<int>(ending.code)) + "\n\n";
-    if (ending.code == ResultCode::Ok)
-        last += formatSseEvent({{}, {}, doneMark});
+                       " code=" + std::to_string(static_cast<int>(finalStatus.code)) + "\n\n";
+    if (finalStatus.code == ResultCode::Ok)
+        last += formatSseEvent({{}, {}, doneMarker});
     else
-        last += formatSseEvent({{}, "error", errorBody(ending, this->caller.requestId)});
+        last += formatSseEvent({{}, "error", errorBody(finalStatus, this->caller.requestId)});
     this->writer->write(std::move(last), nullptr);
     this->writer->finish();
 }
@@ -768,19 +788,19 @@
 std::string GenerationCall::collectedBody() const
 {
     nlohmann::json choice = {{"index", 0}, {"finish_reason", this->finishReason}};
-    if (this->order.chat)
+    if (this->spec.chat)
         choice["message"] = {{"role", "assistant"}, {"content", this->collected}};
     else
         choice["text"] = this->collected;
     const nlohmann::json body = {
             {"id", this->caller.requestId},
-            {"object", this->order.chat ? "chat.completion" : "text_completion"},
-            {"model", this->order.ask.model},
+            {"object", this->spec.chat ? "chat.completion" : "text_completion"},
+            {"model", this->spec.placementRequest.model},
             {"choices", nlohmann::json::array({choice})},
             {"usage",
-             {{"prompt_tokens", this->order.ask.promptTokens},
+             {{"prompt_tokens", this->spec.placementRequest.promptTokens},
               {"completion_tokens", this->record.tokens},
-              {"total_tokens", this->order.ask.promptTokens + this->record.tokens}}}};
+              {"total_tokens", this->spec.placementRequest.promptTokens + this->record.tokens}}}};
     return body.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
--- a/lib/Serve/instance.cpp
+++ b/lib/Serve/instance.cpp
@@ -9,10 +9,10 @@
 #include "jaytrack/Quarantine/crashwatch.h"
 #include "jaytrack/Serve/enginewatcher.h"
 #include "jaytrack/Serve/gateway.h"
-#include "jaytrack/Serve/operatordesk.h"
+#include "jaytrack/Serve/operatorhandler.h"
 #include "jaytrack/Serve/peernode.h"
-#include "jaytrack/Serve/placementdesk.h"
 #include "jaytrack/Serve/platformreader.h"
+#include "jaytrack/Serve/sharedplacementpolicy.h"
 #include "jaytrack/Support/keyring.h"
 #include "jaytrack/Support/log.h"
 #include "jaytrack/Support/metrics.h"
@@ -31,15 +31,17 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds controlTick{20};
+constexpr std::chrono::milliseconds controlInterval{20};
 constexpr int ticksPerSweep = 5;
 
-// So many sweeps in a row find nothing owed before a graceful shutdown ends: 0.2 s or more, in
-// which threads that were held up come to what has arrived.
-constexpr int quietSweepsToEnd = 3;
+// A graceful shutdown ends after this many consecutive sweeps without pending requests or unsent
+// responses. This takes at least 0.2 s, in which delayed threads can read requests that have
+// arrived.
+constexpr int quietSweepsBeforeEnd = 3;
 
-// Whoever stops an instance twice wants it gone. A caller that reads takes the few kilobytes that
-// wait for it well within this, also behind a slow link.
+// Time to send the final responses after cut(). A second stop signal asks for a quick end, and a
+// caller that reads receives the few kilobytes of its response well within this time, even over a
+// slow link.
 constexpr std::chrono::seconds cutGrace{2};
 
 std::int64_t newIncarnation()
@@ -66,16 +68,16 @@
                                public LimitSpread,
                                public CrashWatchListener
 {
-    Parts(const Settings &given, const Clock &time)
-        : settings(given)
+    Parts(const Settings &instanceSettings, const Clock &time)
+        : settings(instanceSettings)
         , clock(time)
-        , keys(given.peerKeys)
-        , wakefulness(time, given.pauseLimit)
+        , keys(instanceSettings.peerKeys)
+        , pauseDetector(time, instanceSettings.pauseLimit)
         , work(asio::make_work_guard(this->control))
         , timer(this->control)
-        , targets(given.targetThreads)
+        , targets(instanceSettings.targetThreads)
         , incarnation(newIncarnation())
-        , deliverBy(time.now() + given.deliveryGrace)
+        , deliveryDeadline(time.now() + instanceSettings.deliveryGrace)
         , placement([this](PlacementListener &listener) { return this->makePolicy(listener); },
                     [this](std::function<void()> step) {
                         asio::post(this->control, std::move(step));
@@ -83,19 +85,19 @@
         , peers(this->control, settings, time, keys, documents, targets, incarnation,
                 this->peerEvents())
         , crashes(this->control, time, metrics, *this, *this)
-        , limits(this->control, time, given.name, given.peerSeeds.size(), std::random_device{}(),
-                 *this, metrics)
+        , limits(this->control, time, instanceSettings.name, instanceSettings.peerSeeds.size(),
+                 std::random_device{}(), *this, metrics)
         , context{settings,
                   clock,
                   metrics,
                   keys,
                   targets,
                   placement,
-                  wakefulness,
+                  pauseDetector,
                   peers,
                   crashes,
                   limits,
-                  [this] { return this->cautious.load(); },
+                  [this] { return this->configMayBeStale.load(); },
                   settings.name,
                   incarnation}
         , gateway(this->context, this->documents)
@@ -104,7 +106,7 @@
                                     settings.instancesUrl, *this))
     {
         this->documents.watch([this](const std::shared_ptr<const Document> &document) {
-            asio::post(this->control, [this, document] { this->onInForce(*document); });
+            asio::post(this->control, [this, document] { this->onDocumentApplied(*document); });
         });
     }
 
@@ -130,13 +132,15 @@
         };
         events.policyMessage = [this](const std::string &from, const std::string &message) {
             this->placement.with([&](PlacementPolicy &policy) { policy.receive(from, message); });
-            this->readNews(from, message);
+            this->receiveUpdates(from, message);
+        };
+        events.refreshed = [this](TimePoint requestedAt) {
+            this->pauseDetector.refreshed(requestedAt);
         };
-        events.refreshed = [this](TimePoint askedAt) { this->wakefulness.refreshed(askedAt); };
         return events;
     }
 
-    // Called under the policy's lock, so it leaves the sending to the control thread.
+    // Called with the policy's lock held, so the control thread sends the message.
     void send(std::string_view to, std::string message) override
     {
         asio::post(this->control,
@@ -145,21 +149,24 @@
                    });
     }
 
-    // QuarantineSpread and CrashWatchListener, on the control thread.
+    // QuarantineSpread and CrashWatchListener, called on the control thread.
 
-    void tellAll(const QuarantineNews &news) override { this->tell(this->others, news); }
+    void tellAll(const QuarantineNews &news) override { this->sendQuarantine(this->others, news); }
 
-    void tellSome(const QuarantineNews &news) override { this->tell(this->drawnOthers(), news); }
+    void tellSome(const QuarantineNews &news) override
+    {
+        this->sendQuarantine(this->sampleOthers(), news);
+    }
 
-    std::vector<std::string> drawnOthers()
+    std::vector<std::string> sampleOthers()
     {
-        std::vector<std::string> drawn;
-        std::sample(this->others.begin(), this->others.end(), std::back_inserter(drawn), drawnPeers,
-                    this->random);
-        return drawn;
+        std::vector<std::string> selected;
+        std::sample(this->others.begin(), this->others.end(), std::back_inserter(selected),
+                    drawnPeers, this->random);
+        return selected;
     }
 
-    void tell(const std::vector<std::string> &names, const QuarantineNews &news)
+    void sendQuarantine(const std::vector<std::string> &names, const QuarantineNews &news)
     {
         wire::PolicyMessage message;
         message.quarantine = toNotices(news);
@@ -173,7 +180,7 @@
             this->peers.sendPolicy(name, bytes);
     }
 
-    // LimitSpread, from any thread: the control thread sends.
+    // LimitSpread, called from any thread. The control thread sends the messages.
 
     void tellLimits(std::string_view instance, const LimitNews &news) override
     {
@@ -187,19 +194,20 @@
 
     void tellSomeLimits(const LimitNews &news) override
     {
-        this->postLimits(news, [this] { return this->drawnOthers(); });
+        this->postLimits(news, [this] { return this->sampleOthers(); });
     }
 
-    void postLimits(const LimitNews &news, std::function<std::vector<std::string>()> whom)
+    void postLimits(const LimitNews &news,
+                    std::function<std::vector<std::string>()> selectRecipients)
     {
-        asio::post(this->control, [this, news, whom = std::move(whom)] {
+        asio::post(this->control, [this, news, selectRecipients = std::move(selectRecipients)] {
             wire::PolicyMessage message;
             message.limits = toNotices(news);
-            this->sendAll(whom(), message);
+            this->sendAll(selectRecipients(), message);
         });
     }
 
-    void readNews(std::string_view from, std::string_view bytes)
+    void receiveUpdates(std::string_view from, std::string_view bytes)
     {
         const auto message = decodeMessage<wire::PolicyMessage>(bytes);
         if (!message)
@@ -214,7 +222,7 @@
 
     void onRequestBarred(std::string_view digest) override { this->gateway.withdraw(digest); }
 
-    // A baseline has no homes; every instance then asks every engine.
+    // A baseline policy assigns no homes, so every instance polls every engine.
     bool isHome(std::string_view engine)
     {
         bool home = true;
@@ -224,33 +232,35 @@
         return home;
     }
 
-    void onInForce(const Document &document)
+    void onDocumentApplied(const Document &document)
     {
         this->placement.with(
                 [&document](PlacementPolicy &policy) { policy.setEngines(engineSpecs(document)); });
         this->peers.onDocument(document.revision);
     }
 
-    void onDocument(std::string bytes, std::uint64_t revision, TimePoint askedAt) override
+    void onDocument(std::string bytes, std::uint64_t revision, TimePoint requestedAt) override
     {
-        asio::post(this->control, [this, bytes = std::move(bytes), revision, askedAt] {
+        asio::post(this->control, [this, bytes = std::move(bytes), revision, requestedAt] {
             this->documents.offer(bytes, revision, "platform");
-            this->onServiceAnswer(revision, askedAt);
+            this->onServiceAnswer(revision, requestedAt);
         });
     }
 
-    void onUnchanged(TimePoint askedAt) override
+    void onUnchanged(TimePoint requestedAt) override
     {
-        asio::post(this->control,
-                   [this, askedAt] { this->onServiceAnswer(this->documents.revision(), askedAt); });
+        asio::post(this->control, [this, requestedAt] {
+            this->onServiceAnswer(this->documents.revision(), requestedAt);
+        });
     }
 
-    void onServiceAnswer(std::uint64_t revision, TimePoint askedAt)
+    void onServiceAnswer(std::uint64_t revision, TimePoint requestedAt)
     {
-        this->peers.onServiceRevision(revision, askedAt);
-        // A replica that is behind what is in force here knows nothing fresh.
+        this->peers.onServiceRevision(revision, requestedAt);
+        // A replica of the configuration service with an older revision does not confirm that the
+        // configuration here is current.
         if (revision >= this->documents.revision())
-            this->wakefulness.refreshed(askedAt);
+            this->pauseDetector.refreshed(requestedAt);
     }
 
     void onInstances(std::vector<ListedInstance> instances, TimePoint) override
@@ -268,12 +278,12 @@
 
     void tick()
     {
-        this->wakefulness.tick();
+        this->pauseDetector.tick();
         this->platform->tick();
         this->placement.with([](PlacementPolicy &policy) { policy.tick(); });
         if (++this->ticks % ticksPerSweep == 0)
             this->sweep();
-        this->timer.expires_after(controlTick);
+        this->timer.expires_after(controlInterval);
         this->timer.async_wait([this](const asio::error_code &ec) {
             if (!ec)
                 this->tick();
@@ -287,11 +297,11 @@
         this->limits.tick();
         this->gateway.sweep();
         if (!this->gateway.isDraining() || !this->gateway.idle())
-            this->deliverBy.store(this->clock.now() + this->settings.deliveryGrace);
-        this->noteQuiet();
+            this->deliveryDeadline.store(this->clock.now() + this->settings.deliveryGrace);
+        this->updateQuietSweeps();
         if (const auto document = this->documents.current())
             this->watcher.tick(*document);
-        this->cautious.store(this->peers.cautious());
+        this->configMayBeStale.store(this->peers.configMayBeStale());
         if (this->gateway.isReady() || this->gateway.isDraining() || !this->peers.mayServe())
             return;
         this->gateway.setReady(true);
@@ -299,9 +309,10 @@
         logEvent(Severity::Info, "instance_ready", {{"name", this->settings.name}});
     }
 
-    // One look is not enough: a process that was held up has requests that came meanwhile and that
-    // no thread has read. Ending on the first look would reset them without an answer.
-    void noteQuiet()
+    // A single check is not enough: after the process was suspended, requests may have arrived that
+    // no thread has read yet. Ending after the first check would reset their connections without a
+    // response.
+    void updateQuietSweeps()
     {
         const bool quiet =
                 this->gateway.isDraining() && this->gateway.idle() && this->unsentAnswers() == 0;
@@ -324,7 +335,7 @@
     OperatorView operatorView()
     {
         return {this->settings.name,      this->gateway, this->peers,
-                this->documents,          this->metrics, this->wakefulness,
+                this->documents,          this->metrics, this->pauseDetector,
                 [this] { this->drain(); }};
     }
 
@@ -332,21 +343,22 @@
     const Clock &clock;
     Metrics metrics;
     KeyRing keys;
-    Wakefulness wakefulness;
+    Wakefulness pauseDetector;
     DocumentStore documents;
-    std::atomic<bool> cautious{false};
-    FleetPolicy *fleetPolicy = nullptr; // owned by placement; null if a baseline is chosen
+    std::atomic<bool> configMayBeStale{false};
+    FleetPolicy *fleetPolicy = nullptr; // owned by placement; null for a baseline policy
     asio::io_context control;
     asio::executor_work_guard<asio::io_context::executor_type> work;
     asio::steady_timer timer;
     HttpClient targets;
     std::int64_t incarnation;
-    std::atomic<TimePoint> deliverBy; // once all requests are answered, their answers leave by this
-    std::atomic<int> quietSweeps{0};  // in a row, since the graceful shutdown began
-    std::atomic<TimePoint> cutBy{TimePoint::max()}; // set by a cut: what is not done then never is
-    PlacementDesk placement;
+    std::atomic<TimePoint> deliveryDeadline; // for sending responses once all requests are answered
+    std::atomic<int> quietSweeps{0};         // consecutive sweeps without pending work
+    std::atomic<TimePoint> cutDeadline{
+            TimePoint::max()}; // set by cut(); drained() returns true after it
+    SharedPlacementPolicy placement;
     PeerNode peers;
-    std::vector<std::string> others; // names of the other live instances; for the control thread
+    std::vector<std::string> others; // names of the other live instances; control thread only
     std::mt19937_64 random{std::random_device{}()};
     CrashWatch crashes;
     LimitGate limits;
@@ -354,7 +366,7 @@
     Gateway gateway;
     EngineWatcher watcher;
     std::unique_ptr<Platform> platform;
-    std::unique_ptr<OperatorDesk> operatorDesk;
+    std::unique_ptr<OperatorHandler> operatorHandler;
     std::unique_ptr<HttpServer> callers;
     std::unique_ptr<HttpServer> operators;
     std::uint64_t ticks = 0;
@@ -366,8 +378,8 @@
 {
 }
 
-// Servers first, so that nothing new comes in; then the control thread, so that nothing runs when
-// the parts go.
+// Stops the servers first, so that no new requests arrive, and then the control thread, so that no
+// callback runs while the parts are destroyed.
 Instance::~Instance()
 {
     if (this->parts->operators)
@@ -384,12 +396,12 @@
 Result<std::unique_ptr<Instance>> Instance::start(const Settings &settings, const Clock &clock)
 {
     auto parts = std::make_unique<Parts>(settings, clock);
-    HttpServerOptions listen;
-    listen.address = settings.callers.address;
-    listen.port = settings.callers.port;
-    listen.threads = settings.callerThreads;
-    listen.maxBodyBytes = settings.maxBodyBytes;
-    auto callers = startHttpServer(listen, parts->gateway);
+    HttpServerOptions callerOptions;
+    callerOptions.address = settings.callers.address;
+    callerOptions.port = settings.callers.port;
+    callerOptions.threads = settings.callerThreads;
+    callerOptions.maxBodyBytes = settings.maxBodyBytes;
+    auto callers = startHttpServer(callerOptions, parts->gateway);
     if (!callers)
         return callers.error();
     parts->callers = std::move(callers.value());
@@ -402,8 +414,8 @@
         operators.address = settings.operators.address;
         operators.port = settings.operators.port;
         operators.threads = 1;
-        parts->operatorDesk = std::make_unique<OperatorDesk>(parts->operatorView());
-        auto started = startHttpServer(operators, *parts->operatorDesk);
+        parts->operatorHandler = std::make_unique<OperatorHandler>(parts->operatorView());
+        auto started = startHttpServer(operators, *parts->operatorHandler);
         if (!started)
             return started.error();
         parts->operators = std::move(started.value());
@@ -430,15 +442,15 @@
 bool Instance::drained() const
 {
     const TimePoint now = this->parts->clock.now();
-    if (now > this->parts->cutBy.load())
+    if (now > this->parts->cutDeadline.load())
         return true;
     if (!this->parts->gateway.isDraining() || !this->parts->gateway.idle())
         return false;
-    // A request counts as answered once its answer is handed to the connection. Ending then would
-    // lose what a slow caller has not taken yet.
-    if (now > this->parts->deliverBy.load())
+    // A request counts as answered once its response is queued on the connection. Ending at that
+    // point would lose the part that a slow caller has not read yet.
+    if (now > this->parts->deliveryDeadline.load())
         return true;
-    return this->unsentAnswers() == 0 && this->parts->quietSweeps.load() >= quietSweepsToEnd;
+    return this->unsentAnswers() == 0 && this->parts->quietSweeps.load() >= quietSweepsBeforeEnd;
 }
 
 std::size_t Instance::unsentAnswers() const
@@ -448,7 +460,7 @@
 
 void Instance::cut()
 {
-    this->parts->cutBy.store(this->parts->clock.now() + cutGrace);
+    this->parts->cutDeadline.store(this->parts->clock.now() + cutGrace);
     this->parts->gateway.cut();
 }
 
--- a/lib/Serve/operatordesk.cpp
+++ b/lib/Serve/operatorhandler.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Serve/operatordesk.h"
+#include "jaytrack/Serve/operatorhandler.h"
 
 #include "jaytrack/Cluster/wakefulness.h"
 #include "jaytrack/Config/documentstore.h"
@@ -47,7 +47,7 @@
 
 } // namespace
 
-void OperatorDesk::handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer)
+void OperatorHandler::handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer)
 {
     const std::vector<HttpHeader> plain = {{"Content-Type", "text/plain"}};
     if (request.path == "/healthz") {
@@ -71,7 +71,7 @@
     }
 }
 
-std::string OperatorDesk::metrics() const
+std::string OperatorHandler::metrics() const
 {
     Metrics &metrics = this->view.metrics;
     const MembershipCounts counts = this->view.peers.counts();
@@ -85,7 +85,7 @@
     metrics.gauge("jaytrack_peer_rejected_total", static_cast<double>(counts.rejected));
     metrics.gauge("jaytrack_suspicions_total", static_cast<double>(counts.suspicions));
     metrics.gauge("jaytrack_late_wakings_total",
-                  static_cast<double>(this->view.wakefulness.lateWakings()));
+                  static_cast<double>(this->view.pauseDetector.lateWakings()));
     metrics.gauge("jaytrack_ledger_tickets",
                   static_cast<double>(this->view.gateway.services().ledgerSize()));
     metrics.gauge("jaytrack_ledger_bytes",
@@ -93,7 +93,7 @@
     return metrics.render();
 }
 
-std::string OperatorDesk::status() const
+std::string OperatorHandler::status() const
 {
     json members = json::array();
     for (const PeerRow &row : this->view.peers.rows()) {
@@ -108,7 +108,7 @@
     const json status = {{"name", this->view.name},
                          {"ready", this->view.gateway.isReady()},
                          {"draining", this->view.gateway.isDraining()},
-                         {"may_act", this->view.wakefulness.mayAct()},
+                         {"may_act", this->view.pauseDetector.mayAct()},
                          {"revision", this->view.documents.revision()},
                          {"config_age_ms", millisOf(this->view.peers.configAge())},
                          {"in_service", this->view.gateway.inService()},
@@ -117,7 +117,7 @@
     return status.dump();
 }
 
-std::string OperatorDesk::burn() const
+std::string OperatorHandler::burn() const
 {
     json rows = json::array();
     for (const BurnRow &row : this->view.gateway.requests().burn()) {
@@ -131,11 +131,11 @@
     return rows.dump();
 }
 
-void OperatorDesk::explain(const HttpRequest &request, ResponseWriter &writer) const
+void OperatorHandler::explain(const HttpRequest &request, ResponseWriter &writer) const
 {
     const auto record = this->view.gateway.requests().find(request.queryValue("id"));
     if (!record) {
-        writer.respond(notFound, {}, "no such request is remembered here\n");
+        writer.respond(notFound, {}, "this instance has no record of the request\n");
         return;
     }
     const ResultCodeInfo &info = describe(record->code);
--- a/lib/Serve/peernode.cpp
+++ b/lib/Serve/peernode.cpp
@@ -20,11 +20,11 @@
 constexpr std::string_view nonceHeader = "Peer-Nonce";
 constexpr std::string_view macHeader = "Peer-Mac";
 constexpr std::string_view revisionHeader = "Config-Revision";
-constexpr std::string_view askPurpose = "document-ask";
-constexpr std::string_view answerPurpose = "document-answer";
-constexpr std::chrono::seconds documentWait{2};
+constexpr std::string_view requestPurpose = "document-ask";
+constexpr std::string_view responsePurpose = "document-answer";
+constexpr std::chrono::seconds documentTimeout{2};
 
-// The address "ip:port" as an endpoint; nothing if it is no IP number and port.
+// Parses an address "ip:port". Returns nullopt if it is not an IP address with a port.
 std::optional<asio::ip::udp::endpoint> toEndpoint(std::string_view address)
 {
     const std::size_t colon = address.rfind(':');
@@ -50,20 +50,20 @@
     return std::to_string(device()) + std::to_string(device()) + std::to_string(device());
 }
 
-// What the answer's authentication covers: the question too, so that an old answer, recorded on
-// the wire, cannot stand in for a fresh one.
-std::string answerText(std::string_view nonce, std::uint64_t revision, std::string_view body)
+// Returns the text that the response's MAC covers. It includes the nonce of the request, so that a
+// recorded response cannot be replayed.
+std::string authenticatedText(std::string_view nonce, std::uint64_t revision, std::string_view body)
 {
     return std::string(nonce) + "\n" + std::to_string(revision) + "\n" + std::string(body);
 }
 
 } // namespace
 
-PeerNode::PeerNode(asio::io_context &controlContext, const Settings &chosen, const Clock &time,
-                   const KeyRing &fleetKeys, DocumentStore &store, HttpClient &httpClient,
-                   std::int64_t incarnation, PeerNodeEvents handlers)
+PeerNode::PeerNode(asio::io_context &controlContext, const Settings &instanceSettings,
+                   const Clock &time, const KeyRing &fleetKeys, DocumentStore &store,
+                   HttpClient &httpClient, std::int64_t incarnation, PeerNodeEvents handlers)
     : control(controlContext)
-    , settings(chosen)
+    , settings(instanceSettings)
     , clock(time)
     , keys(fleetKeys)
     , documents(store)
@@ -81,20 +81,20 @@
         this->server->stop();
 }
 
-// One number serves for documents over TCP and for datagrams. If the system picks it, it picks one
-// that is free for TCP; the datagrams of another process may have it, which shows as an instance
-// that does not start, so another number is tried.
+// Documents over TCP and datagrams over UDP use the same port number. If the system picks the port,
+// it picks one that is free for TCP, but another process may use the number for UDP. The instance
+// would then fail to start, so another port is tried.
 Result<void> PeerNode::bindPorts()
 {
-    constexpr int mostTries = 16;
-    HttpServerOptions listen;
-    listen.address = this->settings.peers.address;
-    listen.port = this->settings.peers.port;
-    listen.threads = 1;
+    constexpr int maxBindAttempts = 16;
+    HttpServerOptions serverOptions;
+    serverOptions.address = this->settings.peers.address;
+    serverOptions.port = this->settings.peers.port;
+    serverOptions.threads = 1;
     asio::error_code ec;
     const auto ip = asio::ip::make_address(this->settings.peers.address, ec);
-    for (int tries = 0; !ec && tries < mostTries; ++tries) {
-        auto started = startHttpServer(listen, *this);
+    for (int tries = 0; !ec && tries < maxBindAttempts; ++tries) {
+        auto started = startHttpServer(serverOptions, *this);
         if (!started)
             return started.error();
         this->server = std::move(started.value());
@@ -111,7 +111,7 @@
         this->server->stop();
         ec.clear();
     }
-    return Error{ResultCode::SettingsContradiction, "cannot bind peers: " + ec.message()};
+    return Error{ResultCode::SettingsContradiction, "cannot bind the peer port: " + ec.message()};
 }
 
 Result<void> PeerNode::open(const std::string &callerAddress)
@@ -146,8 +146,8 @@
 {
     this->socket.async_receive_from(
             asio::buffer(this->buffer), this->sender,
-            [this, kept = this->alive](const asio::error_code &ec, std::size_t bytes) {
-                if (!*kept || ec == asio::error::operation_aborted)
+            [this, aliveFlag = this->alive](const asio::error_code &ec, std::size_t bytes) {
+                if (!*aliveFlag || ec == asio::error::operation_aborted)
                     return;
                 if (!ec)
                     this->onDatagram(bytes);
@@ -161,11 +161,12 @@
         const std::lock_guard lock(this->mutex);
         this->membership->receive(toText(this->sender), {this->buffer.data(), bytes});
     }
-    this->afterStep();
+    this->dispatchEvents();
 }
 
-// What was learnt under the lock is acted on outside it: these functions take locks of their own.
-void PeerNode::afterStep()
+// Runs the callbacks for events that were collected under the lock. They run without the lock
+// because they take locks of their own.
+void PeerNode::dispatchEvents()
 {
     std::vector<std::pair<std::string, std::string>> messages;
     std::vector<std::string> fetches;
@@ -175,7 +176,7 @@
     {
         const std::lock_guard lock(this->mutex);
         messages.swap(this->policyMessages);
-        fetches.swap(this->toFetch);
+        fetches.swap(this->pendingFetches);
         refreshed = std::exchange(this->refreshedAt, std::nullopt);
         dirty = std::exchange(this->membersDirty, false);
         if (dirty) {
@@ -190,7 +191,7 @@
     for (auto &[from, message] : messages)
         this->events.policyMessage(std::move(from), std::move(message));
     for (const std::string &address : fetches)
-        this->askForDocument(address);
+        this->requestDocument(address);
     if (refreshed)
         this->events.refreshed(*refreshed);
 }
@@ -203,7 +204,7 @@
         this->membership->setConfig(this->documents.revision(), this->spread->age());
         this->membership->tick();
     }
-    this->afterStep();
+    this->dispatchEvents();
 }
 
 void PeerNode::suggest(const std::vector<std::string> &addresses)
@@ -214,10 +215,10 @@
     this->membership->suggest(all);
 }
 
-void PeerNode::onServiceRevision(std::uint64_t revision, TimePoint askedAt)
+void PeerNode::onServiceRevision(std::uint64_t revision, TimePoint requestedAt)
 {
     const std::lock_guard lock(this->mutex);
-    this->spread->onService(revision, askedAt);
+    this->spread->onService(revision, requestedAt);
 }
 
 void PeerNode::onDocument(std::uint64_t revision)
@@ -259,7 +260,7 @@
     return this->spread->mayServe();
 }
 
-bool PeerNode::cautious()
+bool PeerNode::configMayBeStale()
 {
     const std::lock_guard lock(this->mutex);
     return this->spread->cautious();
@@ -295,26 +296,26 @@
     return this->membership->counts();
 }
 
-// ---- Called by membership and spread, under the lock ----
+// ---- Called by membership and spread with the lock held ----
 
 void PeerNode::send(std::string_view address, std::string datagram)
 {
     const auto endpoint = toEndpoint(address);
     if (!endpoint)
         return;
-    // A datagram that does not leave is a lost one, which the protocol is made for.
+    // A send error has the same effect as a lost datagram, which the protocol tolerates.
     asio::error_code ignored;
     this->socket.send_to(asio::buffer(datagram), *endpoint, 0, ignored);
 }
 
 void PeerNode::onPeerHeard(const Member &peer, std::uint64_t revision, Duration age,
-                           TimePoint askedAt)
+                           TimePoint requestedAt)
 {
-    const bool asked = askedAt != TimePoint{};
+    const bool hasRequestTime = requestedAt != TimePoint{};
     this->spread->onPeer(peer.peerAddress, revision, age,
-                         asked ? std::optional<TimePoint>(askedAt) : std::nullopt);
-    if (asked && revision <= this->documents.revision())
-        this->refreshedAt = std::max(this->refreshedAt.value_or(TimePoint{}), askedAt);
+                         hasRequestTime ? std::optional<TimePoint>(requestedAt) : std::nullopt);
+    if (hasRequestTime && revision <= this->documents.revision())
+        this->refreshedAt = std::max(this->refreshedAt.value_or(TimePoint{}), requestedAt);
 }
 
 void PeerNode::onPolicyMessage(std::string_view from, std::string_view message)
@@ -322,7 +323,7 @@
     this->policyMessages.emplace_back(from, message);
 }
 
-// The store's watcher comes back to onDocument(), by way of the control thread.
+// If the store accepts the document, its watcher calls onDocument() on the control thread.
 void PeerNode::offer(std::string_view bytes, std::uint64_t revision, std::string_view source)
 {
     this->documents.offer(bytes, revision, source);
@@ -335,50 +336,52 @@
 
 void PeerNode::fetchDocument(const std::string &peerAddress)
 {
-    this->toFetch.push_back(peerAddress);
+    this->pendingFetches.push_back(peerAddress);
 }
 
-void PeerNode::askForDocument(const std::string &address)
+void PeerNode::requestDocument(const std::string &address)
 {
     const std::string nonce = newNonce();
     HttpCall call;
     call.url = "http://" + address + std::string(documentPath);
-    call.headers = {{std::string(nonceHeader), nonce},
-                    {std::string(macHeader), encodeBase64Url(this->keys.sign(askPurpose, nonce))}};
-    call.totalTimeout = documentWait;
+    call.headers = {
+            {std::string(nonceHeader), nonce},
+            {std::string(macHeader), encodeBase64Url(this->keys.sign(requestPurpose, nonce))}};
+    call.totalTimeout = documentTimeout;
     call.mayRepeat = true;
     fetchLater(this->client, std::move(call), 2 * maxDocumentBytes,
-               [this, kept = this->alive, address, nonce](FetchedAnswer answer) {
-                   asio::post(this->control, [this, kept, address, nonce,
+               [this, aliveFlag = this->alive, address, nonce](FetchedAnswer answer) {
+                   asio::post(this->control, [this, aliveFlag, address, nonce,
                                               answer = std::move(answer)]() mutable {
-                       if (!*kept)
+                       if (!*aliveFlag)
                            return;
                        const auto revision = parseIndex(findHeader(answer.headers, revisionHeader));
                        const auto mac = decodeBase64Url(findHeader(answer.headers, macHeader));
                        std::optional<std::string> bytes;
-                       const bool good =
+                       const bool authenticated =
                                answer.end.whole && answer.end.status == 200 && revision && mac &&
-                               this->keys.verify(answerPurpose,
-                                                 answerText(nonce, *revision, answer.body), *mac);
-                       if (good)
+                               this->keys.verify(responsePurpose,
+                                                 authenticatedText(nonce, *revision, answer.body),
+                                                 *mac);
+                       if (authenticated)
                            bytes = std::move(answer.body);
                        {
                            const std::lock_guard lock(this->mutex);
                            this->spread->onFetched(address, revision.value_or(0), bytes);
                        }
-                       this->afterStep();
+                       this->dispatchEvents();
                    });
                });
 }
 
-// Hands the document in force to whoever holds a key of the fleet.
+// Serves the active document to peers that authenticate with a key of the fleet.
 void PeerNode::handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer)
 {
     static constexpr int forbidden = 403;
     static constexpr int notFound = 404;
     const std::string nonce(request.header(nonceHeader));
     const auto mac = decodeBase64Url(request.header(macHeader));
-    if (!mac || !this->keys.verify(askPurpose, nonce, *mac)) {
+    if (!mac || !this->keys.verify(requestPurpose, nonce, *mac)) {
         writer->respond(forbidden, {}, "");
         return;
     }
@@ -387,7 +390,8 @@
         writer->respond(notFound, {}, "");
         return;
     }
-    const std::string proof = this->keys.sign(answerPurpose, answerText(nonce, revision, bytes));
+    const std::string proof =
+            this->keys.sign(responsePurpose, authenticatedText(nonce, revision, bytes));
     const std::vector<HttpHeader> headers = {
             {std::string(revisionHeader), std::to_string(revision)},
             {std::string(macHeader), encodeBase64Url(proof)},
--- a/lib/Serve/platformreader.cpp
+++ b/lib/Serve/platformreader.cpp
@@ -13,27 +13,28 @@
 
 namespace {
 
-// How long the service holds one watch open. Its end confirms that nothing is newer, so it must
-// come well within the time after which an unconfirmed configuration makes this instance cautious.
-constexpr std::chrono::seconds watchWait{5};
-constexpr std::chrono::seconds answerMargin{5};
-constexpr std::chrono::milliseconds firstPause{250};
-constexpr std::chrono::seconds longestPause{4};
-constexpr std::chrono::seconds instancesGap{10};
+// How long the configuration service keeps a long poll open. The response at its end confirms that
+// no newer revision exists, so it must arrive well before this instance treats its configuration as
+// possibly outdated.
+constexpr std::chrono::seconds watchTimeout{5};
+constexpr std::chrono::seconds responseTimeout{5};
+constexpr std::chrono::milliseconds initialBackoff{250};
+constexpr std::chrono::seconds maxBackoff{4};
+constexpr std::chrono::seconds instancesInterval{10};
 constexpr int notModified = 304;
-constexpr int goodStatus = 200;
+constexpr int statusOk = 200;
 
-// The pacing of one repeated read.
+// Schedules one repeated read, with exponential back-off after failures.
 class Pacing
 {
 public:
-    bool due(TimePoint now) const { return !this->waiting && now >= this->nextAt; }
+    bool isDue(TimePoint now) const { return !this->waiting && now >= this->nextAt; }
     void began() { this->waiting = true; }
 
     void succeeded(TimePoint now, Duration gap)
     {
         this->waiting = false;
-        this->pause = firstPause;
+        this->backoff = initialBackoff;
         this->nextAt = now + gap;
     }
 
@@ -42,14 +43,14 @@
         this->waiting = false;
         std::uniform_real_distribution<double> jitter(0.5, 1.5);
         this->nextAt = now + std::chrono::duration_cast<Duration>(
-                                     std::chrono::duration<double>(this->pause) * jitter(random));
-        this->pause = std::min<Duration>(this->pause * 2, longestPause);
+                                     std::chrono::duration<double>(this->backoff) * jitter(random));
+        this->backoff = std::min<Duration>(this->backoff * 2, maxBackoff);
     }
 
 private:
     bool waiting = false;
     TimePoint nextAt;
-    Duration pause = firstPause;
+    Duration backoff = initialBackoff;
 };
 
 class HttpPlatform final : public Platform
@@ -84,21 +85,22 @@
         bool readInstances = false;
         {
             const std::lock_guard lock(this->state->mutex);
-            readDocument = this->state->document.due(now);
+            readDocument = this->state->document.isDue(now);
             if (readDocument)
                 this->state->document.began();
-            readInstances = !this->instancesUrl.empty() && this->state->instances.due(now);
+            readInstances = !this->instancesUrl.empty() && this->state->instances.isDue(now);
             if (readInstances)
                 this->state->instances.began();
         }
         if (readDocument)
-            this->askDocument(now);
+            this->fetchDocument(now);
         if (readInstances)
-            this->askInstances(now);
+            this->fetchInstances(now);
     }
 
 private:
-    // Outlives the reader for as long as an answer may still come.
+    // Shared with pending callbacks, so that it outlives the reader until the last response
+    // arrives.
     struct State
     {
         std::recursive_mutex mutex;
@@ -108,37 +110,40 @@
         Pacing instances;
     };
 
-    void ask(HttpCall call, std::function<void(HttpPlatform &, const FetchedAnswer &)> handler)
+    void startRead(HttpCall call,
+                   std::function<void(HttpPlatform &, const FetchedAnswer &)> handler)
     {
-        static constexpr std::size_t answerBound = 2 * maxDocumentBytes;
+        static constexpr std::size_t maxResponseBytes = 2 * maxDocumentBytes;
         call.mayRepeat = true;
-        fetchLater(this->client, std::move(call), answerBound,
-                   [kept = this->state, handler = std::move(handler)](const FetchedAnswer &answer) {
-                       const std::lock_guard lock(kept->mutex);
-                       if (kept->owner != nullptr)
-                           handler(*kept->owner, answer);
+        fetchLater(this->client, std::move(call), maxResponseBytes,
+                   [sharedState = this->state,
+                    handler = std::move(handler)](const FetchedAnswer &answer) {
+                       const std::lock_guard lock(sharedState->mutex);
+                       if (sharedState->owner != nullptr)
+                           handler(*sharedState->owner, answer);
                    });
     }
 
-    void askDocument(TimePoint askedAt)
+    void fetchDocument(TimePoint requestedAt)
     {
         HttpCall call;
-        const std::uint64_t known = this->listener.revisionInForce();
+        const std::uint64_t knownRevision = this->listener.revisionInForce();
         call.url = this->configUrl;
-        if (known != 0)
-            call.url += "?after=" + std::to_string(known) +
-                        "&wait_ms=" + std::to_string(std::chrono::milliseconds(watchWait).count());
-        call.totalTimeout = watchWait + answerMargin;
-        this->ask(std::move(call), [askedAt](HttpPlatform &self, const FetchedAnswer &answer) {
-            self.onDocument(answer, askedAt);
-        });
+        if (knownRevision != 0)
+            call.url += "?after=" + std::to_string(knownRevision) + "&wait_ms=" +
+                        std::to_string(std::chrono::milliseconds(watchTimeout).count());
+        call.totalTimeout = watchTimeout + responseTimeout;
+        this->startRead(std::move(call),
+                        [requestedAt](HttpPlatform &self, const FetchedAnswer &answer) {
+                            self.onDocument(answer, requestedAt);
+                        });
     }
 
-    void onDocument(const FetchedAnswer &answer, TimePoint askedAt)
+    void onDocument(const FetchedAnswer &answer, TimePoint requestedAt)
     {
         const TimePoint now = this->clock.now();
         const auto revision = parseIndex(findHeader(answer.headers, "Config-Revision"));
-        const bool changed = answer.end.whole && answer.end.status == goodStatus && revision;
+        const bool changed = answer.end.whole && answer.end.status == statusOk && revision;
         const bool unchanged = answer.end.whole && answer.end.status == notModified;
         if (!changed && !unchanged) {
             this->state->document.failed(now, this->state->random);
@@ -151,37 +156,38 @@
         }
         if (unchanged) {
             this->state->document.succeeded(now, Duration(0));
-            this->listener.onUnchanged(askedAt);
+            this->listener.onUnchanged(requestedAt);
             return;
         }
-        // A replica that is behind answers at once with what is already known; asking it again
-        // without a pause would spend the fleet's reads on it.
+        // A replica that lags behind responds immediately with a revision that is already known.
+        // Polling again without a delay would flood the service with reads from the whole fleet.
         if (*revision <= this->listener.revisionInForce())
             this->state->document.failed(now, this->state->random);
         else
             this->state->document.succeeded(now, Duration(0));
-        this->listener.onDocument(answer.body, *revision, askedAt);
+        this->listener.onDocument(answer.body, *revision, requestedAt);
     }
 
-    void askInstances(TimePoint askedAt)
+    void fetchInstances(TimePoint requestedAt)
     {
         HttpCall call;
         call.url = this->instancesUrl;
-        call.totalTimeout = answerMargin;
-        this->ask(std::move(call), [askedAt](HttpPlatform &self, const FetchedAnswer &answer) {
-            self.onInstances(answer, askedAt);
-        });
+        call.totalTimeout = responseTimeout;
+        this->startRead(std::move(call),
+                        [requestedAt](HttpPlatform &self, const FetchedAnswer &answer) {
+                            self.onInstances(answer, requestedAt);
+                        });
     }
 
-    void onInstances(const FetchedAnswer &answer, TimePoint askedAt)
+    void onInstances(const FetchedAnswer &answer, TimePoint requestedAt)
     {
         const TimePoint now = this->clock.now();
         const auto list = nlohmann::json::parse(answer.body, nullptr, false);
-        if (!answer.end.whole || answer.end.status != goodStatus || !list.is_array()) {
+        if (!answer.end.whole || answer.end.status != statusOk || !list.is_array()) {
             this->state->instances.failed(now, this->state->random);
             return;
         }
-        this->state->instances.succeeded(now, instancesGap);
+        this->state->instances.succeeded(now, instancesInterval);
         std::vector<ListedInstance> instances;
         for (const auto &entry : list) {
             if (!entry.is_object())
@@ -189,7 +195,7 @@
             instances.push_back({entry.value("name", ""), entry.value("peer", ""),
                                  entry.value("leaving", false)});
         }
-        this->listener.onInstances(std::move(instances), askedAt);
+        this->listener.onInstances(std::move(instances), requestedAt);
     }
 
     HttpClient &client;
--- a/lib/Serve/requestlog.cpp
+++ b/lib/Serve/requestlog.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr int serverFault = 500; // HTTP status from which the fault is not the caller's
+constexpr int firstServerErrorStatus = 500; // lower statuses are the caller's errors
 
 double inSeconds(Duration duration)
 {
@@ -48,14 +48,15 @@
               {"stall_ms", inMillis(record.longestStall)},
               {"reason", record.reason}});
     const std::lock_guard lock(this->mutex);
-    // What callers got wrong, and the offer of a ticket, use up nobody's allowance.
-    const bool ours = info.httpStatus >= serverFault || record.code == ResultCode::Ok;
-    if (ours && !record.levelSubject.empty())
+    // Callers' errors and responses that issue a ticket do not count against the service level.
+    const bool countsTowardsObjective =
+            info.httpStatus >= firstServerErrorStatus || record.code == ResultCode::Ok;
+    if (countsTowardsObjective && !record.levelSubject.empty())
         this->meter.add({record.customer, record.levelSubject, record.level,
                          record.code == ResultCode::Ok, record.firstByte, record.longestStall});
     this->order.push_back(record.id);
     this->records.insert_or_assign(record.id, std::move(record));
-    if (this->order.size() > kept) {
+    if (this->order.size() > maxRecords) {
         this->records.erase(this->order.front());
         this->order.pop_front();
     }
--- a/lib/Serve/servicecall.cpp
+++ b/lib/Serve/servicehandler.cpp
@@ -1,10 +1,10 @@
-#include "jaytrack/Serve/servicecall.h"
+#include "jaytrack/Serve/servicehandler.h"
 
 #include "jaytrack/Cluster/wakefulness.h"
 #include "jaytrack/Config/settings.h"
 #include "jaytrack/Quarantine/crashwatch.h"
 #include "jaytrack/Quarantine/requestdigest.h"
-#include "jaytrack/Serve/limitwords.h"
+#include "jaytrack/Serve/targetlimits.h"
 #include "jaytrack/Support/digest.h"
 #include "jaytrack/Support/keyring.h"
 #include "jaytrack/Support/log.h"
@@ -25,32 +25,32 @@
 constexpr int redirectStatus = 307;
 constexpr int unavailableStatus = 503;
 constexpr int maxAttempts = 3;
-constexpr std::chrono::milliseconds connectBound{500};
-constexpr std::chrono::milliseconds comeBackSoon{1000};
-
-// Headers that concern one connection only, or that jaytrack sets itself.
-constexpr std::array<std::string_view, 14> notPassedOn = {"Connection",
-                                                          "Keep-Alive",
-                                                          "Proxy-Authenticate",
-                                                          "Proxy-Authorization",
-                                                          "TE",
-                                                          "Trailer",
-                                                          "Transfer-Encoding",
-                                                          "Upgrade",
-                                                          "Content-Length",
-                                                          "Host",
-                                                          "Authorization",
-                                                          "Expect",
-                                                          "Jaytrack-Ticket",
-                                                          "Idempotency-Key"};
-
-bool passedOn(std::string_view name)
+constexpr std::chrono::milliseconds targetConnectTimeout{500};
+constexpr std::chrono::milliseconds retryDelay{1000};
+
+// Headers that apply to one connection only or that jaytrack sets itself.
+constexpr std::array<std::string_view, 14> nonForwardedHeaders = {"Connection",
+                                                                  "Keep-Alive",
+                                                                  "Proxy-Authenticate",
+                                                                  "Proxy-Authorization",
+                                                                  "TE",
+                                                                  "Trailer",
+                                                                  "Transfer-Encoding",
+                                                                  "Upgrade",
+                                                                  "Content-Length",
+                                                                  "Host",
+                                                                  "Authorization",
+                                                                  "Expect",
+                                                                  "Jaytrack-Ticket",
+                                                                  "Idempotency-Key"};
+
+bool isForwarded(std::string_view name)
 {
-    return std::none_of(notPassedOn.begin(), notPassedOn.end(),
+    return std::none_of(nonForwardedHeaders.begin(), nonForwardedHeaders.end(),
                         [name](std::string_view other) { return sameHeaderName(name, other); });
 }
 
-// The query without the ticket, which is not the target's business.
+// Returns the query without the ticket, which is not forwarded to targets.
 std::string queryWithoutTicket(std::string_view query)
 {
     std::string kept;
@@ -68,7 +68,7 @@
 
 } // namespace
 
-struct ServiceDesk::Call
+struct ServiceHandler::Call
 {
     Caller caller;
     const Service *service = nullptr; // within the caller's document
@@ -77,13 +77,13 @@
     HttpRequest request;
     std::shared_ptr<ResponseWriter> writer;
     bool idempotent = false;
-    bool mayRunAgain = false;      // idempotent, or the target recognises repeats
-    std::string bodyDigest;        // set if it carries a ticket
-    std::int64_t ticketSerial = 0; // 0 if it runs without a ticket
+    bool mayRunAgain = false;      // idempotent, or the target deduplicates requests
+    std::string bodyDigest;        // set if the request carries a ticket
+    std::int64_t ticketSerial = 0; // 0 if the request runs without a ticket
     int attempts = 0;
-    int sends = 0; // attempts of which bytes may have left
-    bool everSent = false;
-    int unansweredLosses = 0; // connections that were lost before an answer came
+    int sends = 0; // attempts whose bytes may have been sent
+    bool mayHaveReachedTarget = false;
+    int unansweredLosses = 0; // connections lost before a response arrived
     std::vector<std::string> tried;
     TimePoint startedAt;
     TimePoint sentAt;
@@ -101,7 +101,7 @@
                sealed;
     }
 
-    // By which the request is recognised when its caller sends it again, under any ticket.
+    // Identifies the request when its caller sends it again, under any ticket.
     std::string contentDigest() const
     {
         return requestDigest({this->request.method, this->service->name,
@@ -109,11 +109,11 @@
                               this->request.body});
     }
 
-    // Of what the ticket binds: query and body.
+    // Digest of the query and the body, to which the ticket is bound.
     std::string digest() const { return sha256Hex(this->query + "\n" + this->request.body); }
 };
 
-ServiceDesk::ServiceDesk(ServeContext &ctx, RequestLog &requestLog)
+ServiceHandler::ServiceHandler(ServeContext &ctx, RequestLog &requestLog)
     : context(ctx)
     , log(requestLog)
     , ledger(ctx.instanceName, ctx.incarnation, LedgerBounds{ctx.settings.ledgerBytes})
@@ -122,8 +122,8 @@
 {
 }
 
-void ServiceDesk::handle(Caller caller, const Service &service, std::string path,
-                         HttpRequest request, std::shared_ptr<ResponseWriter> writer)
+void ServiceHandler::handle(Caller caller, const Service &service, std::string path,
+                            HttpRequest request, std::shared_ptr<ResponseWriter> writer)
 {
     auto call = std::make_shared<Call>();
     call->caller = std::move(caller);
@@ -155,24 +155,24 @@
         return;
     }
     if (call->mayRunAgain) {
-        call->record.reason = call->idempotent ? "idempotent" : "the target recognises repeats";
+        call->record.reason = call->idempotent ? "idempotent" : "the target deduplicates requests";
         this->attempt(call);
         return;
     }
     this->offerTicket(call);
 }
 
-// Nothing of the request runs until its caller holds the ticket. A repeat of the first request,
-// lost on the way, thus only obtains another ticket, and repeats under one ticket meet in the one
-// ledger that knows whether it ran.
-void ServiceDesk::offerTicket(const CallPointer &call)
+// The request does not run until its caller holds the ticket. If the response with the ticket is
+// lost, a repeated first request only obtains another ticket. All repeats under one ticket reach
+// the same ledger, which records whether the request ran.
+void ServiceHandler::offerTicket(const CallPointer &call)
 {
     const Ticket ticket = this->ledger.issue(call->caller.customer->name, call->scope(),
                                              this->context.clock.now());
     const std::string sealed = ticket.seal(this->context.keys);
     const std::string url = call->ticketedUrl(sealed);
-    // With an idempotency key a silent redirect would be wrong: the key says that the caller may
-    // start over at the first URL, which would obtain a second ticket for the same key.
+    // Requests with an idempotency key get an error instead of a redirect: a caller with a key may
+    // start again at the first URL, which would obtain a second ticket for the same key.
     const bool keyed = !call->request.header(keyHeader).empty();
     std::vector<HttpHeader> headers =
             outcomeHeaders(ResultCode::TicketRequired, call->caller.requestId);
@@ -187,11 +187,11 @@
                                              "most once however often it is repeated"}};
     const int status = keyed ? describe(ResultCode::TicketRequired).httpStatus : redirectStatus;
     call->writer->respond(status, headers, body.dump());
-    call->record.reason = "offered a ticket";
+    call->record.reason = "issued a ticket";
     this->end(call, ResultCode::TicketRequired);
 }
 
-void ServiceDesk::runTicketed(const CallPointer &call, const std::string &sealed)
+void ServiceHandler::runTicketed(const CallPointer &call, const std::string &sealed)
 {
     const std::optional<Ticket> ticket = Ticket::unseal(this->context.keys, sealed);
     if (!ticket || ticket->customer != call->caller.customer->name ||
@@ -200,14 +200,14 @@
         return;
     }
     if (this->ledger.isMine(*ticket))
-        this->runMine(call, *ticket);
+        this->runAsIssuer(call, *ticket);
     else
         this->forward(call, *ticket);
 }
 
-void ServiceDesk::runMine(const CallPointer &call, const Ticket &ticket)
+void ServiceHandler::runAsIssuer(const CallPointer &call, const Ticket &ticket)
 {
-    call->record.reason = "under its ticket, issued here";
+    call->record.reason = "run under a ticket of this instance";
     const Claim claim = this->ledger.claim(ticket, call->bodyDigest, this->context.clock.now());
     switch (claim.kind) {
     case ClaimKind::Run:
@@ -226,36 +226,36 @@
     }
 }
 
-// Only the issuer's incarnation knows whether the ticket ran. If it is gone, so is that knowledge,
-// and the only true answer is that it is unknown.
-void ServiceDesk::forward(const CallPointer &call, const Ticket &ticket)
+// Only the incarnation that issued the ticket knows whether its request ran. If that incarnation is
+// gone, the outcome is reported as unknown.
+void ServiceHandler::forward(const CallPointer &call, const Ticket &ticket)
 {
     call->record.reason = "forwarded to " + ticket.issuer + ", which issued its ticket";
-    call->everSent = true;
+    call->mayHaveReachedTarget = true;
     const auto issuer = this->context.peers.find(ticket.issuer, ticket.incarnation);
     const bool forwardedBefore = !call->request.header(forwardedHeader).empty();
     if (!issuer || !issuer->alive || forwardedBefore) {
         this->refuse(call, {ResultCode::IssuerGone, "", {}});
         return;
     }
-    HttpCall onward;
-    onward.method = call->request.method;
-    onward.url =
+    HttpCall forwarded;
+    forwarded.method = call->request.method;
+    forwarded.url =
             "http://" + issuer->callerAddress + call->ticketedUrl(ticket.seal(this->context.keys));
-    onward.body = call->request.body;
-    onward.connectTimeout = connectBound;
-    onward.totalTimeout = call->service->timeout + connectBound;
-    onward.mayRepeat = true; // the issuer's ledger recognises repeats
+    forwarded.body = call->request.body;
+    forwarded.connectTimeout = targetConnectTimeout;
+    forwarded.totalTimeout = call->service->timeout + targetConnectTimeout;
+    forwarded.mayRepeat = true; // the issuer's ledger detects repeats
     for (const HttpHeader &header : call->request.headers) {
-        if (passedOn(header.name) || sameHeaderName(header.name, "Authorization"))
-            onward.headers.push_back(header);
+        if (isForwarded(header.name) || sameHeaderName(header.name, "Authorization"))
+            forwarded.headers.push_back(header);
     }
-    onward.headers.push_back({std::string(forwardedHeader), this->context.instanceName});
-    fetchLater(this->context.targets, std::move(onward), this->context.settings.maxAnswerBytes,
+    forwarded.headers.push_back({std::string(forwardedHeader), this->context.instanceName});
+    fetchLater(this->context.targets, std::move(forwarded), this->context.settings.maxAnswerBytes,
                [this, call](FetchedAnswer answer) { this->onForwarded(call, std::move(answer)); });
 }
 
-void ServiceDesk::onForwarded(const CallPointer &call, FetchedAnswer answer)
+void ServiceHandler::onForwarded(const CallPointer &call, FetchedAnswer answer)
 {
     const std::lock_guard lock(this->mutex);
     const std::optional<int> code = [&answer]() -> std::optional<int> {
@@ -278,20 +278,21 @@
     this->answer(call, kept);
 }
 
-// How long the target gets nothing: it wants rest, or names a limit that is used up.
-Duration ServiceDesk::restOf(const ServiceTarget &target) const
+// Returns how long no request may be sent to the target, because it sent Retry-After or because its
+// rate limit is exhausted.
+Duration ServiceHandler::unavailableFor(const ServiceTarget &target) const
 {
     return std::max(this->pauses.left(target.name), this->context.limits.rest(target.name));
 }
 
-const ServiceTarget *ServiceDesk::chooseTarget(const Call &call)
+const ServiceTarget *ServiceHandler::chooseTarget(const Call &call)
 {
     std::vector<const ServiceTarget *> usable;
     std::vector<std::string_view> names;
     for (const ServiceTarget &target : call.service->targets) {
         const bool tried =
                 std::find(call.tried.begin(), call.tried.end(), target.name) != call.tried.end();
-        if (target.leaving || tried || this->restOf(target) > Duration(0))
+        if (target.leaving || tried || this->unavailableFor(target) > Duration(0))
             continue;
         usable.push_back(&target);
         names.push_back(target.name);
@@ -300,16 +301,16 @@
     return chosen < 0 ? nullptr : usable[static_cast<std::size_t>(chosen)];
 }
 
-// How long the request is kept from all targets; zero if it is not.
-Duration ServiceDesk::barredFor(const Call &call) const
+// Returns how long the request remains barred from all targets; zero if it is not barred.
+Duration ServiceHandler::barredFor(const Call &call) const
 {
     return this->context.crashes.isIdle() ? Duration(0)
                                           : this->context.crashes.barredFor(call.contentDigest());
 }
 
-// Remembers what the end of the attempt says of the request, beside what it says of the target.
-void ServiceDesk::noteRun(Call &call, const ServiceTarget &target,
-                          const FetchedAnswer &answer) const
+// Reports to CrashWatch whether the request completed or may have crashed the target.
+void ServiceHandler::recordAttempt(Call &call, const ServiceTarget &target,
+                                   const FetchedAnswer &answer) const
 {
     if (answer.end.whole && !this->context.crashes.isIdle())
         this->context.crashes.ranWell(call.contentDigest());
@@ -321,37 +322,40 @@
                                          call.sentAt);
 }
 
-// The time until the first target that wants no work now takes some again; zero if none does.
-Duration ServiceDesk::shortestRest(const Call &call) const
+// Returns the time until the first unavailable target accepts requests again; zero if no target is
+// unavailable.
+Duration ServiceHandler::shortestUnavailability(const Call &call) const
 {
     Duration shortest{0};
     for (const ServiceTarget &target : call.service->targets) {
-        const Duration left = this->restOf(target);
+        const Duration left = this->unavailableFor(target);
         if (left > Duration(0) && (shortest == Duration(0) || left < shortest))
             shortest = left;
     }
     return shortest;
 }
 
-void ServiceDesk::attempt(const CallPointer &call)
+void ServiceHandler::attempt(const CallPointer &call)
 {
-    // See Wakefulness: a process that woke late must not send on what it knew before.
-    if (!this->context.wakefulness.mayAct()) {
-        this->refuse(call, {ResultCode::AsleepTooLong, "", comeBackSoon});
+    // After a long pause of the process its data may be outdated, so nothing is sent; see
+    // PauseDetector.
+    if (!this->context.pauseDetector.mayAct()) {
+        this->refuse(call, {ResultCode::AsleepTooLong, "", retryDelay});
         return;
     }
     const Duration barred = this->barredFor(*call);
     if (barred > Duration(0)) {
-        this->refuse(call, {ResultCode::RequestBarred, "targets ended under it",
-                            std::chrono::duration_cast<std::chrono::milliseconds>(barred)});
+        this->refuse(call,
+                     {ResultCode::RequestBarred, "targets crashed while they ran this request",
+                      std::chrono::duration_cast<std::chrono::milliseconds>(barred)});
         return;
     }
     const ServiceTarget *target = this->chooseTarget(*call);
     if (target == nullptr) {
-        const auto rest =
-                std::chrono::duration_cast<std::chrono::milliseconds>(this->shortestRest(*call));
-        this->refuse(call, {ResultCode::Overloaded, "no target of the service has room",
-                            std::max(rest, comeBackSoon)});
+        const auto rest = std::chrono::duration_cast<std::chrono::milliseconds>(
+                this->shortestUnavailability(*call));
+        this->refuse(call, {ResultCode::Overloaded, "no target of the service is available",
+                            std::max(rest, retryDelay)});
         return;
     }
     const auto later = [this, call, target](const Permit &permit) {
@@ -362,8 +366,8 @@
         this->onPermit(call, *target, *permit);
 }
 
-void ServiceDesk::onPermit(const CallPointer &call, const ServiceTarget &target,
-                           const Permit &permit)
+void ServiceHandler::onPermit(const CallPointer &call, const ServiceTarget &target,
+                              const Permit &permit)
 {
     if (permit.granted)
         return this->send(call, target);
@@ -371,7 +375,7 @@
     this->attempt(call);
 }
 
-void ServiceDesk::send(const CallPointer &call, const ServiceTarget &target)
+void ServiceHandler::send(const CallPointer &call, const ServiceTarget &target)
 {
     ++call->attempts;
     call->tried.push_back(target.name);
@@ -383,16 +387,16 @@
     out.url = "http://" + target.address + call->path +
               (call->query.empty() ? "" : "?" + call->query);
     out.body = call->request.body;
-    out.connectTimeout = connectBound;
+    out.connectTimeout = targetConnectTimeout;
     out.totalTimeout = call->service->timeout;
     out.mayRepeat = call->mayRunAgain;
     for (const HttpHeader &header : call->request.headers) {
-        if (passedOn(header.name))
+        if (isForwarded(header.name))
             out.headers.push_back(header);
     }
     out.headers.push_back({"X-Request-Id", call->caller.requestId});
     out.headers.push_back({"X-Customer", call->caller.customer->name});
-    // Keys of two customers may be equal, so the customer's name goes in front.
+    // Two customers may use the same key, so the customer's name is prepended.
     const std::string_view key = call->request.header(keyHeader);
     if (!key.empty() && call->service->deduplicates)
         out.headers.push_back(
@@ -403,17 +407,17 @@
                });
 }
 
-void ServiceDesk::onAnswer(const CallPointer &call, const ServiceTarget &target,
-                           const FetchedAnswer &answer)
+void ServiceHandler::onAnswer(const CallPointer &call, const ServiceTarget &target,
+                              const FetchedAnswer &answer)
 {
     const std::lock_guard lock(this->mutex);
     const TimePoint now = this->context.clock.now();
     this->health.ended(target.name, !answer.end.whole, now - call->sentAt);
     call->record.firstByte = now - call->startedAt;
-    call->everSent |= answer.end.maySentBytes;
+    call->mayHaveReachedTarget |= answer.end.maySentBytes;
     call->sends += answer.end.maySentBytes ? 1 : 0;
-    this->noteRun(*call, target, answer);
-    this->hearLimit(*call, target, answer);
+    this->recordAttempt(*call, target, answer);
+    this->updateLimit(*call, target, answer);
     const auto rest = parseRetryAfter(findHeader(answer.headers, "Retry-After"));
     if (answer.end.whole && answer.end.status == unavailableStatus && rest)
         this->pauses.leaveAlone(target.name, *rest);
@@ -425,59 +429,59 @@
     }
     if (this->mayRepeat(call, answer)) {
         if (call->unansweredLosses >= lossesBeforePause)
-            this->heldBack.emplace_back(now + verdictTime, call);
+            this->delayed.emplace_back(now + verdictTime, call);
         else
             this->attempt(call);
         return;
     }
-    if (!call->everSent) {
-        this->refuse(call, {ResultCode::TargetUnreachable, answer.end.error, comeBackSoon});
+    if (!call->mayHaveReachedTarget) {
+        this->refuse(call, {ResultCode::TargetUnreachable, answer.end.error, retryDelay});
         return;
     }
     const bool timedOut = now - call->sentAt >= call->service->timeout;
-    const Ending ending{
+    const FinalStatus finalStatus{
             timedOut ? ResultCode::TargetTimeout : ResultCode::TargetLost, answer.end.error, {}};
-    this->settle(call, {ending.code, describe(ending.code).httpStatus, "application/json",
-                        errorBody(ending, call->caller.requestId)});
+    this->settle(call, {finalStatus.code, describe(finalStatus.code).httpStatus, "application/json",
+                        errorBody(finalStatus, call->caller.requestId)});
 }
 
-void ServiceDesk::hearLimit(const Call &call, const ServiceTarget &target,
-                            const FetchedAnswer &answer)
+void ServiceHandler::updateLimit(const Call &call, const ServiceTarget &target,
+                                 const FetchedAnswer &answer)
 {
     if (!answer.end.whole)
         return;
-    hearTargetLimit(this->context.limits, target.name, {answer.end.status, answer.headers},
-                    this->context.clock.now() - call.sentAt);
+    updateTargetLimit(this->context.limits, target.name, {answer.end.status, answer.headers},
+                      this->context.clock.now() - call.sentAt);
 }
 
-// The rule of at most once: a request goes out again only if it may run twice, or if nothing of it
-// can have reached the target.
-bool ServiceDesk::mayRepeat(const CallPointer &call, const FetchedAnswer &answer)
+// Ensures at-most-once execution: a request is sent again only if it may run twice, or if none of
+// its bytes can have reached the target.
+bool ServiceHandler::mayRepeat(const CallPointer &call, const FetchedAnswer &answer)
 {
-    // A route may have been declared not idempotent since the last revision that reached us.
-    const bool trusted = call->mayRunAgain && !this->context.cautious();
+    // A newer revision that has not reached this instance may declare the route not idempotent.
+    const bool trusted = call->mayRunAgain && !this->context.configMayBeStale();
     const bool safe = trusted || !answer.end.maySentBytes;
     const bool elsewhere = call->tried.size() < call->service->targets.size();
     if (!safe || !elsewhere)
         return false;
-    // Of several targets that have ended each refuses the connection at once; counted as attempts
-    // they had calls refused while other targets were free.
+    // Targets that have ended refuse connections immediately. If such failures counted as attempts,
+    // requests would be refused although other targets are available.
     if (!answer.end.maySentBytes)
         return true;
     return call->sends < maxAttempts && this->health.takeRetry();
 }
 
-// The final word on a request that ran, or may have run.
-void ServiceDesk::settle(const CallPointer &call, const KeptAnswer &answer)
+// Completes a request that ran or may have run.
+void ServiceHandler::settle(const CallPointer &call, const KeptAnswer &answer)
 {
     if (call->ticketSerial != 0) {
         this->ledger.complete(call->ticketSerial, answer, this->context.clock.now());
-        this->tellWaiters(call->ticketSerial, answer);
+        this->notifyWaiters(call->ticketSerial, answer);
     }
     this->answer(call, answer);
 }
 
-void ServiceDesk::tellWaiters(std::int64_t serial, const KeptAnswer &answer)
+void ServiceHandler::notifyWaiters(std::int64_t serial, const KeptAnswer &answer)
 {
     const auto found = this->waiters.find(serial);
     if (found == this->waiters.end())
@@ -488,7 +492,7 @@
         this->answer(call, answer);
 }
 
-void ServiceDesk::answer(const CallPointer &call, const KeptAnswer &answer)
+void ServiceHandler::answer(const CallPointer &call, const KeptAnswer &answer)
 {
     std::vector<HttpHeader> headers = outcomeHeaders(answer.code, call->caller.requestId);
     if (!answer.contentType.empty())
@@ -497,29 +501,29 @@
     this->end(call, answer.code);
 }
 
-// Refuses a request of which this instance knows that it did not run, or does not know whether.
-void ServiceDesk::refuse(const CallPointer &call, const Ending &wanted)
+// Completes a request that did not run, or for which this instance does not know whether it ran.
+void ServiceHandler::refuse(const CallPointer &call, const FinalStatus &requestedStatus)
 {
-    Ending ending = wanted;
-    if (call->everSent && describe(ending.code).outcome == Outcome::NotRun)
-        ending.code = ResultCode::TargetLost;
+    FinalStatus finalStatus = requestedStatus;
+    if (call->mayHaveReachedTarget && describe(finalStatus.code).outcome == Outcome::NotRun)
+        finalStatus.code = ResultCode::TargetLost;
     if (call->ticketSerial != 0) {
-        const bool notRun = describe(ending.code).outcome == Outcome::NotRun;
-        const KeptAnswer kept{ending.code, describe(ending.code).httpStatus, "application/json",
-                              errorBody(ending, call->caller.requestId)};
+        const bool notRun = describe(finalStatus.code).outcome == Outcome::NotRun;
+        const KeptAnswer kept{finalStatus.code, describe(finalStatus.code).httpStatus,
+                              "application/json", errorBody(finalStatus, call->caller.requestId)};
         if (notRun)
             this->ledger.release(call->ticketSerial);
         else
             this->ledger.complete(call->ticketSerial, kept, this->context.clock.now());
-        this->tellWaiters(call->ticketSerial, kept);
+        this->notifyWaiters(call->ticketSerial, kept);
     }
-    answerError(*call->writer, ending, call->caller.requestId);
-    if (!ending.detail.empty())
-        call->record.reason += "; " + ending.detail;
-    this->end(call, ending.code);
+    answerError(*call->writer, finalStatus, call->caller.requestId);
+    if (!finalStatus.detail.empty())
+        call->record.reason += "; " + finalStatus.detail;
+    this->end(call, finalStatus.code);
 }
 
-void ServiceDesk::end(const CallPointer &call, ResultCode code)
+void ServiceHandler::end(const CallPointer &call, ResultCode code)
 {
     call->record.code = code;
     call->record.recoveries = std::max(0, call->attempts - 1);
@@ -529,36 +533,36 @@
     this->log.add(call->record);
 }
 
-void ServiceDesk::sweep()
+void ServiceHandler::sweep()
 {
     const std::lock_guard lock(this->mutex);
     const TimePoint now = this->context.clock.now();
-    while (!this->heldBack.empty() && this->heldBack.front().first <= now) {
-        const CallPointer call = std::move(this->heldBack.front().second);
-        this->heldBack.pop_front();
+    while (!this->delayed.empty() && this->delayed.front().first <= now) {
+        const CallPointer call = std::move(this->delayed.front().second);
+        this->delayed.pop_front();
         this->attempt(call);
     }
 }
 
-std::size_t ServiceDesk::inService() const
+std::size_t ServiceHandler::inService() const
 {
     const std::lock_guard lock(this->mutex);
     return this->active.size();
 }
 
-std::size_t ServiceDesk::ledgerSize() const
+std::size_t ServiceHandler::ledgerSize() const
 {
     const std::lock_guard lock(this->mutex);
     return this->ledger.size();
 }
 
-std::size_t ServiceDesk::ledgerBytes() const
+std::size_t ServiceHandler::ledgerBytes() const
 {
     const std::lock_guard lock(this->mutex);
     return this->ledger.bytesKept();
 }
 
-void ServiceDesk::logInService() const
+void ServiceHandler::logInService() const
 {
     const std::lock_guard lock(this->mutex);
     for (const auto &[id, call] : this->active)
--- a/lib/Serve/limitwords.cpp
+++ b/lib/Serve/targetlimits.cpp
@@ -1,4 +1,4 @@
-#include "jaytrack/Serve/limitwords.h"
+#include "jaytrack/Serve/targetlimits.h"
 
 #include "jaytrack/Support/log.h"
 
@@ -6,22 +6,23 @@
 
 namespace {
 
-constexpr int firstGoodStatus = 200;
-constexpr int afterGoodStatus = 300;
+constexpr int firstSuccessStatus = 200;
+constexpr int firstNonSuccessStatus = 300;
 
 } // namespace
 
-void hearTargetLimit(LimitGate &limits, std::string_view target, const AnswerHead &answer)
+void updateTargetLimit(LimitGate &limits, std::string_view target, const ResponseHead &answer)
 {
     if (const auto limit = parseRequestRate(findHeader(answer.headers, targetLimitHeader)))
         limits.named(target, *limit);
 }
 
-void hearTargetLimit(LimitGate &limits, std::string_view target, const AnswerHead &answer,
-                     Duration sentAgo)
+void updateTargetLimit(LimitGate &limits, std::string_view target, const ResponseHead &answer,
+                       Duration sentAgo)
 {
-    hearTargetLimit(limits, target, answer);
-    const bool served = answer.status >= firstGoodStatus && answer.status < afterGoodStatus;
+    updateTargetLimit(limits, target, answer);
+    const bool served =
+            answer.status >= firstSuccessStatus && answer.status < firstNonSuccessStatus;
     if (served && findHeader(answer.headers, targetLimitHeader).empty())
         limits.namedNone(target, sentAgo);
 }
