--- a/unittests/Serve/crashingrequesttest.cpp
+++ b/unittests/Serve/crashingrequesttest.cpp
@@ -1,4 +1,5 @@
-// Requests under which engines and targets of services end, at the daemon's own interface.
+// Tests that a request which crashes engines or service targets is barred, using a daemon's own
+// HTTP interface.
 #include "site.h"
 
 #include "platformstandin.h"
@@ -17,21 +18,22 @@
 
 namespace {
 
-// As many targets may end as it takes to know the request, and one under what is on its way then.
-constexpr std::size_t mostDeaths = 4;
+// The request may crash as many targets as it takes to bar it, and one more to which it has already
+// been sent by then.
+constexpr std::size_t maxEndedTargets = 4;
 
-bool isDeadly(const SeenRequest &request)
+bool crashesTarget(const SeenRequest &request)
 {
     return request.body.find("deadly") != std::string::npos ||
            request.head.target.find("deadly") != std::string::npos;
 }
 
-// An engine, and a target of a service, that ends soon after it began the deadly request.
-Answer fragileAnswer(const SeenRequest &request)
+// Acts as an engine and as a service target that crashes shortly after it started the request.
+Answer crashingTargetResponse(const SeenRequest &request)
 {
     if (request.head.path() == "/load")
         return wholeAnswer(200, "", R"({"memory_used":0,"running":0,"waiting":0,"leaving":false})");
-    if (isDeadly(request))
+    if (crashesTarget(request))
         return {{AnswerStep::Kind::Die, "", std::chrono::milliseconds(30)}};
     if (request.head.method == "GET")
         return wholeAnswer(200, "", "good");
@@ -43,14 +45,14 @@
             {AnswerStep::Kind::Send, "0\r\n\r\n", {}}};
 }
 
-struct FragileSite
+struct CrashingSite
 {
-    explicit FragileSite(std::size_t targetCount = 8)
+    explicit CrashingSite(std::size_t targetCount = 8)
         : site(emptyPlan())
     {
         Document document = this->site.document();
         for (std::size_t i = 0; i < targetCount; ++i) {
-            this->servers.push_back(std::make_unique<ScriptedServer>(fragileAnswer));
+            this->servers.push_back(std::make_unique<ScriptedServer>(crashingTargetResponse));
             Engine engine;
             engine.name = "fragile-" + std::to_string(i);
             engine.dataCentre = "falun";
@@ -84,13 +86,13 @@
                                   instance);
     }
 
-    FetchedAnswer ask(const std::string &meter, std::size_t instance)
+    FetchedAnswer requestReading(const std::string &meter, std::size_t instance)
     {
         return this->site.request("GET", "/account/readings?meter=" + meter, "", {}, weaverKey,
                                   instance);
     }
 
-    std::size_t dead() const
+    std::size_t endedTargets() const
     {
         return static_cast<std::size_t>(
                 std::count_if(this->servers.begin(), this->servers.end(),
@@ -101,7 +103,6 @@
     Site site;
 };
 
-// The code that the caller of an idempotent call is told.
 std::string_view codeOf(const FetchedAnswer &answer)
 {
     return findHeader(answer.headers, "Jaytrack-Code");
@@ -115,20 +116,22 @@
 
 } // namespace
 
-// Engines end one after another, each soon after it was given the same prompt; the daemon itself
-// starts the generation anew at another engine, since its caller has seen nothing, and the caller
-// comes again, at another instance too. Nobody kept in mind what a request had done.
-ParameterizedTestParameters(crashingRequest, endsNoMoreTargetsOnceItIsKnown)
+// Guards against one request crashing all targets, one after another. The daemon restarts a
+// generation on another engine as long as its caller has received nothing, and the caller retries,
+// also at other instances. Without a record of crashes per request, every retry crashes another
+// target.
+ParameterizedTestParameters(crashingRequest, isBarredAfterCrashingTargets)
 {
     static WorkCase cases[] = {{"generation", true}, {"idempotent", false}};
     return cr_make_param_array(WorkCase, cases, std::size(cases));
 }
 
-ParameterizedTest(WorkCase *param, crashingRequest, endsNoMoreTargetsOnceItIsKnown)
+ParameterizedTest(WorkCase *param, crashingRequest, isBarredAfterCrashingTargets)
 {
-    FragileSite fragile;
+    CrashingSite crashing;
     const auto send = [&](const std::string &what, std::size_t instance) {
-        return param->generation ? fragile.generate(what, instance) : fragile.ask(what, instance);
+        return param->generation ? crashing.generate(what, instance)
+                                 : crashing.requestReading(what, instance);
     };
     cr_assert_eq(send("harmless", 0).end.status, 200);
     FetchedAnswer last;
@@ -136,24 +139,25 @@
         last = send("deadly", static_cast<std::size_t>(i % 2));
         std::this_thread::sleep_for(std::chrono::milliseconds(500));
     }
-    cr_assert_leq(fragile.dead(), mostDeaths, "%s: %zu targets ended", param->name, fragile.dead());
+    cr_assert_leq(crashing.endedTargets(), maxEndedTargets, "%s: %zu targets ended", param->name,
+                  crashing.endedTargets());
     cr_assert_eq(last.end.status, 503, "%s", param->name);
     cr_assert_eq(codeOf(last), std::string_view("213"));
     cr_assert(!findHeader(last.headers, "Retry-After").empty());
     for (std::size_t instance = 0; instance < 2; ++instance)
-        cr_assert_eq(send("harmless", instance).end.status, 200, "%s: others are served",
-                     param->name);
+        cr_assert_eq(send("harmless", instance).end.status, 200,
+                     "%s: a harmless request is not served", param->name);
 }
 
-// A caller is told "not run" though its call had reached a target. The call went out on a kept
-// connection, the target ended under it, and the HTTP client sent it again by itself on a new
-// connection, which was refused: what it reported was that no connection could be made.
-Test(service, lostOnAKeptConnectionIsNotCalledNotRun)
+// Guards against the outcome "not run" for a request that reached a target. The request is sent on
+// a reused connection and the target crashes. If the HTTP client then retries by itself on a new
+// connection, which is refused, it reports only that it could not connect.
+Test(service, lossOnReusedConnectionIsNotReportedAsNotRun)
 {
-    FragileSite fragile(1);
-    cr_assert_eq(fragile.ask("harmless", 0).end.status, 200);
-    const FetchedAnswer answer = fragile.ask("deadly", 0);
-    cr_assert_eq(fragile.dead(), 1);
+    CrashingSite crashing(1);
+    cr_assert_eq(crashing.requestReading("harmless", 0).end.status, 200);
+    const FetchedAnswer answer = crashing.requestReading("deadly", 0);
+    cr_assert_eq(crashing.endedTargets(), 1);
     cr_assert_eq(codeOf(answer), std::string_view("301"), "code %s",
                  std::string(codeOf(answer)).c_str());
 }
--- a/unittests/Serve/daemonprocess.cpp
+++ b/unittests/Serve/daemonprocess.cpp
@@ -27,11 +27,11 @@
     this->writeSettings(configUrl);
     const std::string settings = (this->directory / "settings.toml").string();
     const std::string log = (this->directory / "log").string();
-    // An assertion that fails ends the test without destructors.
-    const auto endWithTheTest = [](auto &) { ::prctl(PR_SET_PDEATHSIG, SIGKILL); };
+    // A failed assertion ends the test without running destructors.
+    const auto killWithParent = [](auto &) { ::prctl(PR_SET_PDEATHSIG, SIGKILL); };
     boost::process::child started(JAYTRACK_DAEMON, "--settings", settings,
                                   boost::process::std_out > log,
-                                  boost::process::extend::on_exec_setup = endWithTheTest);
+                                  boost::process::extend::on_exec_setup = killWithParent);
     this->child = std::make_unique<Child>(Child{std::move(started)});
 }
 
--- a/unittests/Serve/daemonprocess.h
+++ b/unittests/Serve/daemonprocess.h
@@ -1,4 +1,4 @@
-// The program jaytrackd as a process of its own, started and signalled from outside.
+// Runs the program jaytrackd as a child process for tests of its start, signals and exit.
 #ifndef JAYTRACK_UNITTESTS_SERVE_DAEMONPROCESS_H
 #define JAYTRACK_UNITTESTS_SERVE_DAEMONPROCESS_H
 
@@ -10,8 +10,8 @@
 
 namespace jaytrack::test {
 
-// One instance on ports that the system picks. Boost.Process stays out of this header, since it
-// brings another Asio than the one that the tests use.
+// Runs one instance on ports picked by the system. This header does not include Boost.Process,
+// because that includes a different Asio from the one that the tests use.
 class DaemonProcess
 {
 public:
@@ -27,7 +27,7 @@
     std::string log() const;
     bool logged(const std::string &text) const;
 
-    // As the log tells it, so only once the instance has started.
+    // Reads the port from the log. Returns 0 until the instance has started.
     std::uint16_t callersPort() const;
 
 private:
--- a/unittests/Serve/programtest.cpp
+++ b/unittests/Serve/programtest.cpp
@@ -1,4 +1,4 @@
-// How the program jaytrackd ends.
+// Tests the shutdown of the program jaytrackd.
 #include "daemonprocess.h"
 #include "site.h"
 #include "slowcaller.h"
@@ -26,7 +26,7 @@
     cr_assert(eventually([&program] { return program.logged("event=instance_ready"); }));
 }
 
-// The second signal counts only once the first was seen.
+// Sends the second signal only after the daemon has handled the first.
 void signalTwice(const DaemonProcess &program)
 {
     program.signal(SIGTERM);
@@ -36,24 +36,24 @@
 
 } // namespace
 
-// A caller whose stream was cut by a second signal was not told so: the event that says it, and
-// what the engine had made before, were handed to the caller's connection, and the program returned
-// in the same breath, with them still in it.
-Test(program, tellsCallersWhatASecondSignalCuts)
+// Guards against losing the error event of a stream that a second signal cuts. The event and the
+// tokens before it are queued on the caller's connection; a program that exits immediately loses
+// them.
+Test(program, sendsErrorEventAfterSecondSignal)
 {
     const Site site(planWithoutInstances());
     DaemonProcess program(site.configUrl());
     awaitReady(program);
     asio::io_context context;
     asio::ip::tcp::socket socket = jaytrack::testing::connectNarrow(context, program.callersPort());
-    const std::string body = Site::prompt(20'000, true); // more than the sockets take
+    const std::string body = Site::prompt(20'000, true); // more than the socket buffers hold
     asio::write(socket, asio::buffer("POST /v1/chat/completions HTTP/1.1\r\nHost: jaytrack\r\n"
                                      "Authorization: Bearer " +
                                      weaverKey + "\r\nContent-Length: " +
                                      std::to_string(body.size()) + "\r\n\r\n" + body));
-    std::this_thread::sleep_for(milliseconds(2500)); // until the stream waits for its caller
+    std::this_thread::sleep_for(milliseconds(2500)); // until the stream is blocked by its caller
     signalTwice(program);
-    std::this_thread::sleep_for(milliseconds(200)); // a program that waits for nothing has ended
+    std::this_thread::sleep_for(milliseconds(200)); // an exit without waiting would be complete
     const std::string seen = jaytrack::testing::readToEnd(socket);
     cr_assert(seen.find("event: error") != std::string::npos, "%zu bytes", seen.size());
     cr_assert(seen.ends_with("\r\n0\r\n\r\n"), "%zu bytes", seen.size());
@@ -62,8 +62,8 @@
     cr_assert(program.logged("unsent_answers=0"), "%s", program.log().c_str());
 }
 
-// A second signal must end the program soon, whatever still runs: here a target that takes long.
-Test(program, endsSoonAfterASecondSignal)
+// A second signal must end the program soon even while a slow target still works on a request.
+Test(program, endsSoonAfterSecondSignal)
 {
     SitePlan plan = planWithoutInstances();
     plan.service.takes = std::chrono::seconds(30);
@@ -77,7 +77,7 @@
     asio::write(socket, asio::buffer("GET /account/readings HTTP/1.1\r\nHost: jaytrack\r\n"
                                      "Authorization: Bearer " +
                                      weaverKey + "\r\n\r\n"));
-    std::this_thread::sleep_for(milliseconds(500)); // until the target has it
+    std::this_thread::sleep_for(milliseconds(500)); // until the target has the request
     signalTwice(program);
     cr_assert(program.endsWithin(std::chrono::seconds(5)));
     cr_assert_eq(program.exitCode(), 0);
@@ -85,10 +85,10 @@
     cr_assert(program.logged("unsent_answers=1"), "%s", program.log().c_str());
 }
 
-// Callers got no answer at all, not even that their requests did not run, from a program that was
-// held up and found on waking that it was to stop: their requests had arrived, nobody had looked at
-// them yet, and the program saw nothing in service and ended.
-Test(program, answersWhatArrivedWhileItWasHeldUp)
+// Guards against closing connections without a response when a suspended program resumes with a
+// pending stop signal. Requests that arrived meanwhile have not been read yet, so the program sees
+// no request in service and could exit before it answers them.
+Test(program, answersRequestsReceivedWhileSuspended)
 {
     constexpr std::size_t callers = 400;
     const Site site(planWithoutInstances());
@@ -104,7 +104,7 @@
                                                  "Authorization: Bearer " +
                                                  weaverKey + "\r\n\r\n"));
     }
-    std::this_thread::sleep_for(milliseconds(100)); // so that its next look is due on waking
+    std::this_thread::sleep_for(milliseconds(100)); // so that its next check is due when it resumes
     program.signal(SIGTERM);
     program.signal(SIGCONT);
     std::size_t answered = 0;
--- a/unittests/Serve/servicetest.cpp
+++ b/unittests/Serve/servicetest.cpp
@@ -21,7 +21,8 @@
     return std::string(findHeader(answer.headers, "Jaytrack-Outcome"));
 }
 
-// Sends bytes as they are and returns what comes back until the peer closes or is silent.
+// Sends the bytes unchanged and returns the response up to the end of the connection, or what has
+// arrived after 500 ms.
 std::string rawExchange(std::uint16_t port, const std::string &bytes)
 {
     asio::io_context context;
@@ -32,23 +33,23 @@
     std::array<char, 4096> part{};
     asio::steady_timer timer(context, std::chrono::milliseconds(500));
     timer.async_wait([&](const asio::error_code &) { socket.close(); });
-    std::function<void()> readOn = [&] {
+    std::function<void()> readNext = [&] {
         socket.async_read_some(asio::buffer(part), [&](const asio::error_code &ec, std::size_t n) {
             answer.append(part.data(), n);
             if (!ec)
-                readOn();
+                readNext();
             else
                 timer.cancel();
         });
     };
-    readOn();
+    readNext();
     context.run();
     return answer;
 }
 
 } // namespace
 
-Test(service, repeatsIdempotentRequestsElsewhere)
+Test(service, retriesIdempotentRequestsAtOtherTargets)
 {
     Site site;
     site.services[0].reset();
@@ -59,8 +60,9 @@
     }
 }
 
-// Symptom: paying twice. Events: the caller repeats under its ticket, at the issuer and at another
-// instance. Cause: each instance deciding by itself.
+// Guards against running a payment twice when the caller repeats it under one ticket, at the issuer
+// and at another instance. This happens if each instance decides by itself whether the ticket has
+// run.
 Test(service, ticketedRequestRunsOnceAtAnyInstance)
 {
     SitePlan plan;
@@ -100,9 +102,10 @@
     cr_assert(site.runsOf("p2") == 0);
 }
 
-// Symptom: "not run" for a payment that ran. Events: the issuer ran it and died; the caller repeats
-// at another instance. Cause: taking no record for no run.
-Test(service, issuersEndIsUnknown)
+// Guards against reporting "not run" for a payment that ran. The issuer runs it and ends, and the
+// caller repeats it at another instance, where a missing record must not be taken as proof that it
+// never ran.
+Test(service, outcomeIsUnknownAfterIssuerEnded)
 {
     SitePlan plan;
     plan.instances = 2;
@@ -116,8 +119,8 @@
     cr_assert(site.runsOf("p1") == 1);
 }
 
-// Symptom: a payment runs twice. Events: the target runs it and loses the answer. Cause: sending it
-// again, by jaytrack or by its HTTP library.
+// Guards against running a payment twice after the target ran it and its response was lost. This
+// happens if jaytrack or its HTTP library sends the request again.
 Test(service, lostAnswerIsUnknownAndNotSentAgain)
 {
     SitePlan plan;
@@ -135,8 +138,8 @@
     cr_assert(site.runsOf("p1") <= 1);
 }
 
-// Symptom: a payment that never left is called unknown. Events: no target can be reached. Cause:
-// treating a refused connection like a lost answer.
+// Guards against reporting "unknown" for a payment that was never sent because no target is
+// reachable. This happens if a refused connection is treated like a lost response.
 Test(service, unreachableTargetsMeanNotRun)
 {
     Site site;
@@ -171,7 +174,7 @@
     cr_assert(site.runsOf("p1") == 1);
 }
 
-Test(service, idempotencyKeys)
+Test(service, requiresDeduplicationForIdempotencyKeys)
 {
     Site plain;
     const std::vector<HttpHeader> key = {{"Idempotency-Key", "k1"}};
@@ -186,7 +189,7 @@
     for (int i = 0; i < 3; ++i)
         cr_assert(site.request("POST", "/account/pay", Site::payment("p1"), key).end.status == 200);
     cr_assert(site.runsOf("p1") == 1);
-    // Another customer's equal key is another key.
+    // The same key of another customer is a different key.
     site.request("POST", "/account/pay", Site::payment("p1"), key, dyerKey);
     cr_assert(site.runsOf("p1") == 2);
 }
@@ -200,7 +203,7 @@
     char code[4];
 };
 
-ParameterizedTestParameters(gateway, refusesWithANumber)
+ParameterizedTestParameters(gateway, refusesWithResultCode)
 {
     static BadRequestCase cases[] = {
             {"POST", "/v1/chat/completions", "", 400, "101"},
@@ -221,7 +224,7 @@
     return cr_make_param_array(BadRequestCase, cases, std::size(cases));
 }
 
-ParameterizedTest(BadRequestCase *param, gateway, refusesWithANumber)
+ParameterizedTest(BadRequestCase *param, gateway, refusesWithResultCode)
 {
     Site site;
     const FetchedAnswer answer = site.request(param->method, param->path, param->body);
@@ -231,14 +234,14 @@
     cr_assert(nlohmann::json::parse(answer.body)["error"]["code"] == std::stoi(param->code));
 }
 
-Test(gateway, knowsCustomersByKey)
+Test(gateway, identifiesCustomersByKey)
 {
     Site site;
     cr_assert_eq(codeOf(site.request("GET", "/v1/models", "", {}, "wrong")), std::string("105"));
     cr_assert(site.request("GET", "/v1/models").end.status == 200);
 }
 
-Test(gateway, boundsEachCustomer)
+Test(gateway, limitsRequestsPerCustomer)
 {
     SitePlan plan;
     plan.maxConcurrent = 2;
@@ -274,7 +277,7 @@
     return cr_make_param_array(SmugglingCase, cases, std::size(cases));
 }
 
-// Whatever the shape, nothing reaches a target and the instance serves on.
+// A malformed request must not reach a target, and the instance must continue to serve.
 ParameterizedTest(SmugglingCase *param, gateway, refusesSmuggling)
 {
     Site site;
@@ -298,26 +301,27 @@
     Site site;
     const FetchedAnswer served = site.request("GET", "/account/readings");
     const std::string base = "http://" + Site::addressOf(site.instances[0]->operatorPort());
-    const auto ask = [&](const std::string &path) {
+    const auto sendRequest = [&](const std::string &path) {
         HttpCall call;
         call.url = base + path;
         return fetch(site.client, call);
     };
-    const auto status = nlohmann::json::parse(ask("/status").body);
+    const auto status = nlohmann::json::parse(sendRequest("/status").body);
     cr_assert(status["ready"] == true && status["revision"] == 1);
-    cr_assert(ask("/metrics").body.find("jaytrack_requests_total{outcome=\"complete\"") !=
+    cr_assert(sendRequest("/metrics").body.find("jaytrack_requests_total{outcome=\"complete\"") !=
               std::string::npos);
     const std::string id(findHeader(served.headers, "Jaytrack-Request"));
-    const auto record = nlohmann::json::parse(ask("/explain?id=" + id).body);
+    const auto record = nlohmann::json::parse(sendRequest("/explain?id=" + id).body);
     cr_assert(record["reason"] == "idempotent");
-    cr_assert(ask("/explain?id=none").end.status == 404);
-    const auto burn = nlohmann::json::parse(ask("/burn").body);
+    cr_assert(sendRequest("/explain?id=none").end.status == 404);
+    const auto burn = nlohmann::json::parse(sendRequest("/burn").body);
     cr_assert(burn[0]["subject"] == "account" && burn[0]["total"][0] == 1);
 }
 
-// A call is refused though a target is free. Most targets of its service have ended, each refuses
-// the connection, and three such refusals used up the attempts, although nothing had been sent.
-Test(service, targetsThatCannotBeReachedUseUpNoAttempt)
+// Guards against refusing a request although a target is available. Most targets of the service
+// have ended and refuse connections. Three refused connections must not use up the attempts,
+// because nothing has been sent.
+Test(service, unreachableTargetsDoNotUseUpAttempts)
 {
     SitePlan plan;
     plan.services = 1;
@@ -339,13 +343,13 @@
     }
 }
 
-// A target of a service that turns calls away and says for how long it wants none is asked again by
-// the next call, while the others are free. What it says holds for this instance until it is over.
-Test(service, busyTargetIsLeftAloneForSoLong)
+// Guards against sending requests to a target that answered 503 with Retry-After while other
+// targets are available. This instance must not use the target until that time has passed.
+Test(service, busyTargetGetsNoRequestsUntilRetryAfter)
 {
-    std::atomic<int> askedBusy{0};
-    jaytrack::testing::ScriptedServer busy([&askedBusy](const jaytrack::testing::SeenRequest &) {
-        ++askedBusy;
+    std::atomic<int> busyRequests{0};
+    jaytrack::testing::ScriptedServer busy([&busyRequests](const jaytrack::testing::SeenRequest &) {
+        ++busyRequests;
         return jaytrack::testing::wholeAnswer(503, "Retry-After: 2\r\n", "");
     });
     SitePlan plan;
@@ -355,17 +359,17 @@
     document.services[0].targets.push_back({"busy", "falun", busy.address(), false});
     site.publish(document);
     site.addInstance(site.configUrl());
-    const auto ask = [&site] {
+    const auto sendRequest = [&site] {
         return site.request("GET", "/account/readings?meter=7", "", {}, weaverKey, 1).end.status;
     };
-    for (int i = 0; i < 100 && askedBusy == 0; ++i)
-        ask();
-    cr_assert_eq(askedBusy, 1);
+    for (int i = 0; i < 100 && busyRequests == 0; ++i)
+        sendRequest();
+    cr_assert_eq(busyRequests, 1);
     for (int i = 0; i < 40; ++i)
-        cr_assert_eq(ask(), 200);
-    cr_assert_eq(askedBusy, 1);
+        cr_assert_eq(sendRequest(), 200);
+    cr_assert_eq(busyRequests, 1);
     std::this_thread::sleep_for(std::chrono::milliseconds(2100));
-    for (int i = 0; i < 100 && askedBusy == 1; ++i)
-        ask();
-    cr_assert_eq(askedBusy, 2, "it is over");
+    for (int i = 0; i < 100 && busyRequests == 1; ++i)
+        sendRequest();
+    cr_assert_eq(busyRequests, 2, "the busy target is not used again after Retry-After has passed");
 }
--- a/unittests/Serve/site.h
+++ b/unittests/Serve/site.h
@@ -1,4 +1,4 @@
-// A small site for tests: stand-ins and instances in one process, on ports that the system picks.
+// Test fixture with stand-ins and instances in one process, on ports picked by the system.
 #ifndef JAYTRACK_UNITTESTS_SERVE_SITE_H
 #define JAYTRACK_UNITTESTS_SERVE_SITE_H
 
@@ -24,19 +24,19 @@
 inline const std::string weaverKey = "key-of-the-weavers";
 inline const std::string dyerKey = "key-of-the-dyers";
 
-// Waits for something to become true, ten seconds at the most.
-inline bool eventually(const std::function<bool()> &holds)
+// Waits up to ten seconds for the condition to become true. Returns its last value.
+inline bool eventually(const std::function<bool()> &condition)
 {
     const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(10);
     while (std::chrono::steady_clock::now() < limit) {
-        if (holds())
+        if (condition())
             return true;
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
     }
-    return holds();
+    return condition();
 }
 
-// What a site is made of.
+// Options of a site.
 struct SitePlan
 {
     std::size_t engines = 2;
@@ -57,8 +57,8 @@
 class Site
 {
 public:
-    explicit Site(SitePlan chosen = {})
-        : plan(std::move(chosen))
+    explicit Site(SitePlan sitePlan = {})
+        : plan(std::move(sitePlan))
     {
         for (std::size_t i = 0; i < this->plan.engines; ++i)
             this->engines.push_back(this->startEngine(i));
@@ -86,13 +86,13 @@
 
     Document document() const
     {
-        Document made;
+        Document newDocument;
         Model model;
         model.name = "pattern";
         model.repeatable = this->plan.repeatable;
         model.maxWait = std::chrono::seconds(5);
         model.silenceTimeout = std::chrono::seconds(2);
-        made.models.push_back(model);
+        newDocument.models.push_back(model);
         for (std::size_t i = 0; i < this->engines.size(); ++i) {
             Engine engine;
             engine.name = "engine-" + std::to_string(i);
@@ -100,7 +100,7 @@
             engine.address = addressOf(this->engines[i]->port());
             engine.model = "pattern";
             engine.can = {this->plan.engineResumes, true, true, true};
-            made.engines.push_back(engine);
+            newDocument.engines.push_back(engine);
         }
         Service service;
         service.name = "account";
@@ -110,19 +110,21 @@
         for (std::size_t i = 0; i < this->services.size(); ++i)
             service.targets.push_back({"account-" + std::to_string(i), "falun",
                                        addressOf(this->services[i]->port()), false});
-        made.services.push_back(service);
-        made.customers.push_back({"weavers", {sha256Hex(weaverKey)}, 1, this->plan.maxConcurrent});
-        made.customers.push_back({"dyers", {sha256Hex(dyerKey)}, 1, this->plan.maxConcurrent});
-        made.index();
-        return made;
+        newDocument.services.push_back(service);
+        newDocument.customers.push_back(
+                {"weavers", {sha256Hex(weaverKey)}, 1, this->plan.maxConcurrent});
+        newDocument.customers.push_back(
+                {"dyers", {sha256Hex(dyerKey)}, 1, this->plan.maxConcurrent});
+        newDocument.index();
+        return newDocument;
     }
 
-    void publish(const Document &made)
+    void publish(const Document &newDocument)
     {
         HttpCall call;
         call.method = "PUT";
         call.url = this->configUrl();
-        call.body = made.serialise();
+        call.body = newDocument.serialise();
         fetch(this->client, call);
     }
 
@@ -149,9 +151,10 @@
             if (other)
                 settings.peerSeeds.push_back(addressOf(other->peerPort()));
         }
-        auto begun = Instance::start(settings, this->clock);
-        cr_assert(begun.has_value(), "%s", begun ? "" : begun.error().detail.c_str());
-        this->instances.push_back(std::move(begun.value()));
+        auto startResult = Instance::start(settings, this->clock);
+        cr_assert(startResult.has_value(), "%s",
+                  startResult ? "" : startResult.error().detail.c_str());
+        this->instances.push_back(std::move(startResult.value()));
         Instance &instance = *this->instances.back();
         eventually([&instance] { return instance.isReady(); });
         return instance;
@@ -177,7 +180,7 @@
         return fetch(this->client, call);
     }
 
-    // Takes a ticket for a payment; the URL under which it may be sent.
+    // Obtains a ticket for a payment and returns the URL at which the payment may be sent.
     std::string ticketUrl(std::size_t instance = 0)
     {
         const FetchedAnswer offer =
@@ -190,7 +193,7 @@
         return nlohmann::json{{"order", order}}.dump();
     }
 
-    // How often an order ran, over all targets of the service.
+    // Returns how often an order ran on all targets of the service together.
     std::uint64_t runsOf(const std::string &order)
     {
         std::uint64_t runs = 0;
@@ -239,13 +242,13 @@
     int started = 0;
 };
 
-// Reads a stream while a test goes on, and can hang up at any time.
+// Reads a stream in the background and can disconnect at any time.
 class StreamReader
 {
 public:
-    StreamReader(Site &place, const std::string &url, const std::string &cursor = "",
+    StreamReader(Site &testSite, const std::string &url, const std::string &cursor = "",
                  const std::string &post = "", const std::string &key = weaverKey)
-        : site(place)
+        : site(testSite)
         , state(std::make_shared<State>())
     {
         HttpCall call;
@@ -255,35 +258,35 @@
         call.headers = {{"Authorization", "Bearer " + key}};
         if (!cursor.empty())
             call.headers.push_back({"Last-Event-ID", cursor});
-        this->id = place.client.start(std::move(call), this->state);
+        this->id = testSite.client.start(std::move(call), this->state);
     }
 
     ~StreamReader() { this->site.client.cancel(this->id); }
     StreamReader(const StreamReader &) = delete;
     StreamReader &operator=(const StreamReader &) = delete;
 
-    // What still arrives after this is not looked at, as by a caller that is gone.
+    // Disconnects. Data that arrives afterwards is discarded.
     void hangUp()
     {
         {
             const std::lock_guard lock(this->state->mutex);
-            this->state->left = true;
+            this->state->disconnected = true;
         }
         this->site.client.cancel(this->id);
     }
 
-    // Stops taking data, as a caller does that reads slowly; release() goes on.
-    void hold()
+    // Stops reading, like a slow caller, until release() is called.
+    void pause()
     {
         const std::lock_guard lock(this->state->mutex);
-        this->state->held = true;
+        this->state->paused = true;
     }
 
-    void release()
+    void unpause()
     {
         {
             const std::lock_guard lock(this->state->mutex);
-            this->state->held = false;
+            this->state->paused = false;
         }
         this->site.client.resume(this->id);
     }
@@ -314,7 +317,7 @@
 
     bool whole() const { return this->text().find("data: [DONE]") != std::string::npos; }
 
-    // The indexes of the tokens received, as their texts say, like "0,1,2,".
+    // Returns the indexes in the texts of the received tokens, for example "0,1,2,".
     std::string indexes() const
     {
         const std::string all = this->text();
@@ -340,18 +343,18 @@
 private:
     struct State final : HttpCallListener
     {
-        void onHeaders(int code, std::span<const HttpHeader> got) override
+        void onHeaders(int code, std::span<const HttpHeader> receivedHeaders) override
         {
             const std::lock_guard lock(this->mutex);
             this->status = code;
-            this->headers.assign(got.begin(), got.end());
+            this->headers.assign(receivedHeaders.begin(), receivedHeaders.end());
         }
         bool onData(std::string_view data) override
         {
             const std::lock_guard lock(this->mutex);
-            if (this->held)
+            if (this->paused)
                 return false;
-            if (!this->left)
+            if (!this->disconnected)
                 this->text += data;
             return true;
         }
@@ -366,8 +369,8 @@
         std::vector<HttpHeader> headers;
         std::string text;
         bool ended = false;
-        bool left = false;
-        bool held = false;
+        bool disconnected = false;
+        bool paused = false;
     };
 
     Site &site;
@@ -375,7 +378,7 @@
     HttpCallId id = 0;
 };
 
-// "0,1,...,n-1," as StreamReader::indexes() gives it.
+// Returns the indexes from first to count - 1 in the format of StreamReader::indexes().
 inline std::string upTo(int count, int first = 0)
 {
     std::string text;
--- a/unittests/Serve/stoptest.cpp
+++ b/unittests/Serve/stoptest.cpp
@@ -1,4 +1,4 @@
-// What callers still get of an instance that is told to stop.
+// Tests which responses callers still receive from an instance that shuts down.
 #include "site.h"
 #include "slowcaller.h"
 
@@ -15,20 +15,20 @@
 
 namespace {
 
-// Bytes that wait in the instance because the system takes no more of an answer.
-constexpr std::size_t waitingBytes = 256U << 10U;
+// Bytes of a response that stay queued in the instance because the socket buffers are full.
+constexpr std::size_t queuedBytes = 256U << 10U;
 
-// Less than an event of a stream has, so that a stream of so many events is long enough.
-constexpr std::size_t leastEventBytes = 256;
+// Lower bound of an event's size, used to compute how many events a long enough stream needs.
+constexpr std::size_t minEventBytes = 256;
 
-// Longer than it takes an instance to end that waits for nothing.
-constexpr milliseconds endsWithin{800};
+// Longer than an instance takes to shut down if it does not wait for its callers.
+constexpr milliseconds immediateShutdownTime{800};
 
-// A target whose answers are as large as a test wants them.
-class LargeAnswers final : public HttpHandler
+// A target with responses of a configurable size.
+class LargeResponseHandler final : public HttpHandler
 {
 public:
-    explicit LargeAnswers(std::size_t size)
+    explicit LargeResponseHandler(std::size_t size)
         : bytes(size)
     {
     }
@@ -55,7 +55,7 @@
     return nlohmann::json::parse(fetch(site.client, call).body)["in_service"].get<int>();
 }
 
-// Ends an instance as its program does: looks whether all is done, then lets it go.
+// Ends an instance like its program does: polls drained(), then destroys the instance.
 void awaitEnd(std::unique_ptr<Instance> &instance)
 {
     while (!instance->drained())
@@ -63,11 +63,12 @@
     instance.reset();
 }
 
-// Lets the instance end, and reads only once one that waits for nothing has ended.
+// Ends the instance, and starts reading only after the time in which an instance that does not wait
+// for its callers would have ended.
 std::string readWhileEnding(Site &site, asio::ip::tcp::socket &socket)
 {
     auto ended = std::async(std::launch::async, [&site] { awaitEnd(site.instances[0]); });
-    std::this_thread::sleep_for(endsWithin);
+    std::this_thread::sleep_for(immediateShutdownTime);
     std::string seen = jaytrack::testing::readToEnd(socket);
     ended.get();
     return seen;
@@ -88,41 +89,40 @@
 {
     char name[24];
     bool stream;
-    char last[32]; // the end of what the caller must get
+    char last[32]; // expected end of the response
 };
 
 struct WaitCase
 {
     char name[24];
     int graceMs;
-    bool leaves;
-    bool owedAtTheEnd;
+    bool disconnects;
+    bool hasUnsentAnswers;
 };
 
 } // namespace
 
-// A caller behind a slow link lost the end of its answer when the instance stopped. The answer had
-// been handed to the caller's connection, so its request was no longer in service and the instance
-// said that all was done, while the system had not taken the answer whole; the program then ended
-// with the rest still in it.
-ParameterizedTestParameters(stop, slowCallerGetsTheRest)
+// Guards against losing the end of a response to a slow caller when the instance stops. A response
+// that is queued on the connection no longer counts as in service. If drained() ignored it, the
+// program would exit before the operating system has accepted the whole response.
+ParameterizedTestParameters(stop, slowCallerReceivesWholeResponse)
 {
     static LastAnswerCase cases[] = {{"whole answer", false, "the end"},
                                      {"stream", true, "data: [DONE]\n\n\r\n0\r\n\r\n"}};
     return cr_make_param_array(LastAnswerCase, cases, std::size(cases));
 }
 
-ParameterizedTest(LastAnswerCase *param, stop, slowCallerGetsTheRest)
+ParameterizedTest(LastAnswerCase *param, stop, slowCallerReceivesWholeResponse)
 {
     const std::size_t taken = jaytrack::testing::unreadBytesTaken();
     SitePlan plan;
     plan.stepMs = 0.05;
-    plan.streamBufferBytes = 64U << 20U; // the engine is not held back
+    plan.streamBufferBytes = 64U << 20U; // large enough not to pause the engine's stream
     Site site(plan);
-    LargeAnswers target(taken + waitingBytes);
+    LargeResponseHandler target(taken + queuedBytes);
     const auto server = std::move(startHttpServer({}, target).value());
     useTarget(site, server->port());
-    const auto events = static_cast<std::uint32_t>((taken + waitingBytes) / leastEventBytes);
+    const auto events = static_cast<std::uint32_t>((taken + queuedBytes) / minEventBytes);
     asio::io_context context;
     asio::ip::tcp::socket socket =
             jaytrack::testing::connectNarrow(context, site.instances[0]->callerPort());
@@ -137,22 +137,22 @@
     cr_assert(seen.size() > taken, "%s: %zu bytes", param->name, seen.size());
 }
 
-// The wait for callers must not hold up the end of the program for ever: a caller that takes
-// nothing is waited for as long as the delivery grace says, and one that has gone is not waited
-// for.
-ParameterizedTestParameters(stop, callersDoNotHoldTheEnd)
+// Guards against callers delaying the shutdown without limit. The instance waits for a caller that
+// does not read at most for the delivery grace period, and does not wait for a caller that has
+// disconnected.
+ParameterizedTestParameters(stop, callersDoNotBlockShutdown)
 {
-    static WaitCase cases[] = {{"takes nothing", 1000, false, true},
-                               {"has gone", 60'000, true, false}};
+    static WaitCase cases[] = {{"does not read", 1000, false, true},
+                               {"has disconnected", 60'000, true, false}};
     return cr_make_param_array(WaitCase, cases, std::size(cases));
 }
 
-ParameterizedTest(WaitCase *param, stop, callersDoNotHoldTheEnd)
+ParameterizedTest(WaitCase *param, stop, callersDoNotBlockShutdown)
 {
     SitePlan plan;
     plan.deliveryGrace = milliseconds(param->graceMs);
     Site site(plan);
-    LargeAnswers target(jaytrack::testing::unreadBytesTaken() + waitingBytes);
+    LargeResponseHandler target(jaytrack::testing::unreadBytesTaken() + queuedBytes);
     const auto server = std::move(startHttpServer({}, target).value());
     useTarget(site, server->port());
     asio::io_context context;
@@ -164,16 +164,15 @@
     Instance &instance = *site.instances[0];
     instance.drain();
     cr_assert(!instance.drained(), "%s", param->name);
-    if (param->leaves)
+    if (param->disconnects)
         socket.close();
     cr_assert(eventually([&instance] { return instance.drained(); }), "%s", param->name);
-    cr_assert_eq(instance.unsentAnswers() > 0, param->owedAtTheEnd, "%s", param->name);
+    cr_assert_eq(instance.unsentAnswers() > 0, param->hasUnsentAnswers, "%s", param->name);
 }
 
-// A caller whose stream was cut by a second signal was not told so: the event that says it, and
-// what the engine had made before, were handed to the caller's connection, and the program ended
-// at once with them still in it.
-Test(stop, callerIsToldThatItsStreamWasCut)
+// Guards against losing the error event of a stream that is cut. The event and the tokens before it
+// are queued on the caller's connection; an instance that ends immediately loses them.
+Test(stop, cutStreamEndsWithErrorEvent)
 {
     SitePlan plan;
     plan.stepMs = 0.05;
@@ -181,7 +180,7 @@
     asio::io_context context;
     asio::ip::tcp::socket socket =
             jaytrack::testing::connectNarrow(context, site.instances[0]->callerPort());
-    static constexpr int length = 20'000; // some eight megabytes, which the sockets do not take
+    static constexpr int length = 20'000; // about 8 MB, more than the socket buffers hold
     asio::write(socket, asio::buffer(rawRequest("POST", "/v1/chat/completions",
                                                 Site::prompt(length, true))));
     std::this_thread::sleep_for(milliseconds(2500));
--- a/unittests/Serve/streamtest.cpp
+++ b/unittests/Serve/streamtest.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-Test(stream, arrivesWhole)
+Test(stream, arrivesComplete)
 {
     Site site;
     StreamReader reader(site, site.base() + chat, "", Site::prompt(30, true));
@@ -38,8 +38,8 @@
     cr_assert(body["choices"][0]["finish_reason"] == "stop");
 }
 
-// Symptom: the draft is lost when its instance is. Events: the caller's connection breaks and it
-// comes back to another instance. Cause: streams that only their first instance knows.
+// Guards against losing a stream whose caller disconnects and resumes at another instance. This
+// happens if only the first instance can serve the stream.
 Test(stream, resumesAtAnotherInstance)
 {
     SitePlan plan;
@@ -67,7 +67,7 @@
     cr_assert_eq(first.indexes() + second.indexes(), upTo(100));
     const auto started =
             site.engineCounts(0)["started"].get<int>() + site.engineCounts(1)["started"].get<int>();
-    cr_assert(started == 1, "a second generation was started");
+    cr_assert(started == 1, "a second generation has been started");
 }
 
 Test(stream, handlesBelongToOneCustomer)
@@ -83,9 +83,9 @@
     cr_assert(again.end.status == 200);
 }
 
-// Symptom: a broken stream looks like a whole one. Events: the engine dies while the caller reads.
-// Cause: ending every stream in the same way.
-Test(stream, saysSoWhenItsEngineDies)
+// Guards against a broken stream that looks complete after the engine ended while the caller was
+// reading. This happens if every stream ends in the same way.
+Test(stream, endsWithErrorWhenEngineEnds)
 {
     SitePlan plan;
     plan.engines = 1;
@@ -96,12 +96,13 @@
     cr_assert(eventually([&] { return reader.ended(); }));
     cr_assert(!reader.whole());
     cr_assert(reader.text().find("event: error") != std::string::npos);
-    cr_assert_eq(errorCode(reader.text()).substr(0, 1), std::string("3"), "an unknown outcome");
+    cr_assert_eq(errorCode(reader.text()).substr(0, 1), std::string("3"),
+                 "the result code does not stand for an unknown outcome");
 }
 
-// Symptom: an engine's restart costs callers who have seen nothing. Events: engine dies before the
-// first token. Cause: treating all that was sent as lost.
-Test(stream, startsAgainIfNothingWasSeen)
+// Guards against failing a generation whose engine ended before the first token. It can be
+// restarted on another engine because the caller has received nothing.
+Test(stream, restartsBeforeFirstToken)
 {
     SitePlan plan;
     plan.engineFaults.stalled = true;
@@ -109,17 +110,17 @@
     StreamReader reader(site, site.base() + chat, "", Site::prompt(10, true));
     const auto startedAt = [&](std::size_t i) { return site.engineCounts(i)["started"] == 1; };
     cr_assert(eventually([&] { return startedAt(0) || startedAt(1); }));
-    const std::size_t victim = startedAt(0) ? 0 : 1;
-    site.control(site.engines[1 - victim], {{"stalled", false}});
-    site.engines[victim].reset();
+    const std::size_t endedEngine = startedAt(0) ? 0 : 1;
+    site.control(site.engines[1 - endedEngine], {{"stalled", false}});
+    site.engines[endedEngine].reset();
     cr_assert(eventually([&] { return reader.ended(); }));
     cr_assert(reader.whole());
     cr_assert_eq(reader.indexes(), upTo(10));
 }
 
-// Symptom: a billed flow check runs twice. Events: as above, but the model may not be repeated.
-// Cause: starting again whatever the operators said.
-Test(stream, neverStartsAgainWhatMayRunOnce)
+// Guards against running a generation twice on a model that is declared not repeatable. The engine
+// ends before the first token, and the generation must not be restarted.
+Test(stream, doesNotRestartNonRepeatableModel)
 {
     SitePlan plan;
     plan.engineFaults.stalled = true;
@@ -129,17 +130,18 @@
     StreamReader reader(site, site.base() + chat, "", Site::prompt(10, true));
     const auto startedAt = [&](std::size_t i) { return site.engineCounts(i)["started"] == 1; };
     cr_assert(eventually([&] { return startedAt(0) || startedAt(1); }));
-    const std::size_t victim = startedAt(0) ? 0 : 1;
-    site.engines[victim].reset();
+    const std::size_t endedEngine = startedAt(0) ? 0 : 1;
+    site.engines[endedEngine].reset();
     cr_assert(eventually([&] { return reader.ended(); }));
     cr_assert(reader.status() == 502);
     cr_assert_eq(reader.header("Jaytrack-Outcome"), std::string("unknown"));
-    cr_assert(site.engineCounts(1 - victim)["started"] == 0);
+    cr_assert(site.engineCounts(1 - endedEngine)["started"] == 0);
 }
 
-// Symptom: tokens come twice or are missing. Events: connections to the engine end early, frames
-// come doubled. Cause: no order of frames, or starting anew.
-Test(stream, survivesBrokenLinksAndDoubledFrames)
+// Guards against duplicate or missing tokens when connections to the engine end early and events
+// are duplicated. This happens if events are not ordered by index or if the generation is
+// restarted.
+Test(stream, survivesLostConnectionsAndDuplicateEvents)
 {
     SitePlan plan;
     plan.engineFaults.duplicates = true;
@@ -151,32 +153,32 @@
     cr_assert_eq(reader.indexes(), upTo(50));
 }
 
-// Symptom: one caller that reads slowly holds up the others, or loses tokens. Events: it stops
-// reading in the middle of a long draft, for longer than an engine may be silent, and then goes on.
-// Cause: no flow control, or taking our own holding back for the engine's silence.
-Test(stream, slowCallerHoldsUpNobodyAndLosesNothing)
+// Guards against a slow caller that blocks other callers or loses tokens. It stops reading during a
+// long stream for longer than the silence time-out of the engine, and then continues. The test
+// fails without flow control, or if the paused stream counts as silence of the engine.
+Test(stream, slowCallerBlocksNobodyAndLosesNoTokens)
 {
     SitePlan plan;
     plan.engines = 1;
     plan.stepMs = 0.05;
     Site site(plan);
-    static constexpr int length = 20'000; // some eight megabytes, which the sockets do not take
+    static constexpr int length = 20'000; // about 8 MB, more than the socket buffers hold
     StreamReader slow(site, site.base() + chat, "", Site::prompt(length, true));
     cr_assert(eventually([&] { return slow.status() == 200; }));
-    slow.hold();
+    slow.pause();
     const FetchedAnswer other = site.request("POST", chat, Site::prompt(20, false));
     cr_assert(other.end.status == 200);
     std::this_thread::sleep_for(std::chrono::milliseconds(2500));
     cr_assert(!slow.ended());
-    slow.release();
+    slow.unpause();
     cr_assert(eventually([&] { return slow.ended(); }));
     cr_assert(slow.whole());
     cr_assert_eq(slow.indexes(), upTo(length));
 }
 
-// Symptom: engines decode for nobody. Events: a caller leaves and does not come back. Cause: no
-// cancelling; but also no cancelling before its time to come back is over.
-Test(stream, cancelsWhatNobodyComesBackFor)
+// Guards against engines that keep generating after the caller left and did not return. The
+// generation must be cancelled, but not before the caller's time to resume has passed.
+Test(stream, cancelsGenerationOfAbsentCaller)
 {
     Site site;
     StreamReader reader(site, site.base() + chat, "", Site::prompt(20'000, true));
@@ -191,8 +193,8 @@
     cr_assert(eventually([&] { return cancelled() == 1; }));
 }
 
-// Symptom: a leaving engine receives work. Events: it says so itself, or the document does. Cause:
-// routing by a list that lags.
+// Guards against sending work to a leaving engine. The engine itself or the document says that it
+// is leaving; routing by an outdated list would miss that.
 Test(stream, sendsNothingToALeavingEngine)
 {
     Site site;
@@ -202,7 +204,8 @@
     for (int i = 0; i < 10; ++i)
         cr_assert(site.request("POST", chat, Site::prompt(2, false)).end.status == 200);
     cr_assert(site.engineCounts(0)["started"] == before["started"]);
-    cr_assert(site.engineCounts(0)["refused"] == before["refused"], "nor is it even asked");
+    cr_assert(site.engineCounts(0)["refused"] == before["refused"],
+              "the leaving engine received requests and refused them");
 
     Document document = site.document();
     document.engines[1].leaving = true;
@@ -211,9 +214,9 @@
             [&] { return site.request("POST", chat, Site::prompt(2, false)).end.status == 503; }));
 }
 
-// Symptom: a planned stop cuts a draft. Events: the instance is told to stop while it serves a
-// stream. Cause: ending with the process what has not ended.
-Test(stream, plannedStopCutsNothing)
+// Guards against cutting a stream when the instance is told to shut down gracefully while it serves
+// it. This happens if the process ends before its requests do.
+Test(stream, gracefulShutdownCompletesStreams)
 {
     Site site;
     StreamReader reader(site, site.base() + chat, "", Site::prompt(300, true));
@@ -231,9 +234,9 @@
     cr_assert(eventually([&] { return site.instances[0]->drained(); }));
 }
 
-// Symptom: a new instance cannot start while the service is down. Events: the service is gone, a
-// peer has the document. Cause: only one place to learn it from.
-Test(fleet, startsFromPeersWhileTheServiceIsDown)
+// Guards against an instance that cannot start while the configuration service is down although a
+// peer has the document. This happens if instances read the document from the service only.
+Test(fleet, startsFromPeersWhileConfigServiceIsDown)
 {
     Site site;
     Instance &second = site.addInstance("http://127.0.0.1:1/v1/document");
@@ -248,7 +251,7 @@
     }));
 }
 
-Test(fleet, isNotReadyWhenItKnowsNothing)
+Test(fleet, isNotReadyWithoutDocument)
 {
     Site site;
     site.instances.clear();
--- a/unittests/Serve/limittoldtest.cpp
+++ b/unittests/Serve/targetlimittest.cpp
@@ -1,4 +1,4 @@
-// Targets that name in their answers how many requests a second they take, at the daemon's own
+// Tests rate limits that targets announce in their responses, using the daemon's own HTTP
 // interface.
 #include "limitedtarget.h"
 #include "site.h"
@@ -22,9 +22,9 @@
 
 const std::string limitHeader = "Target-Limit";
 constexpr double limit = 2.5;
-constexpr std::chrono::milliseconds acquaintance{3200};
-constexpr std::chrono::milliseconds heeded{500};
-constexpr std::chrono::seconds played{6};
+constexpr std::chrono::milliseconds instanceDiscoveryTime{3200};
+constexpr std::chrono::milliseconds limitReactionTime{500};
+constexpr std::chrono::seconds loadDuration{6};
 
 Answer answerTo(const SeenRequest &request, const std::string &headers)
 {
@@ -41,34 +41,34 @@
             {AnswerStep::Kind::Send, "0\r\n\r\n", {}}};
 }
 
-// Two instances in front of an engine and a target of a service that name limits, and perhaps of
-// one more each that does not.
+// Two instances with an engine and a service target that announce rate limits, and optionally with
+// another engine and target without a limit.
 struct LimitedSite
 {
-    explicit LimitedSite(bool another)
+    explicit LimitedSite(bool hasUnlimitedTarget)
         : site(emptyPlan())
     {
         Document document = this->site.document();
-        addTo(document, "limited", this->engine.address(), this->desk.address());
-        if (another)
-            addTo(document, "free", this->free.address(), this->free.address());
+        addTargets(document, "limited", this->engine.address(), this->serviceTarget.address());
+        if (hasUnlimitedTarget)
+            addTargets(document, "free", this->unlimited.address(), this->unlimited.address());
         document.index();
         this->site.publish(document);
         for (int i = 0; i < 2; ++i)
             this->site.addInstance(this->site.configUrl());
-        std::this_thread::sleep_for(acquaintance);
+        std::this_thread::sleep_for(instanceDiscoveryTime);
     }
 
-    static void addTo(Document &document, const std::string &name, const std::string &engineAt,
-                      const std::string &deskAt)
+    static void addTargets(Document &document, const std::string &name,
+                           const std::string &engineAddress, const std::string &serviceAddress)
     {
         Engine engine;
         engine.name = "engine-" + name;
         engine.dataCentre = "falun";
-        engine.address = engineAt;
+        engine.address = engineAddress;
         engine.model = "pattern";
         document.engines.push_back(engine);
-        document.services[0].targets.push_back({"desk-" + name, "falun", deskAt, false});
+        document.services[0].targets.push_back({"desk-" + name, "falun", serviceAddress, false});
     }
 
     static SitePlan emptyPlan()
@@ -89,8 +89,8 @@
     }
 
     LimitedTarget engine{limitHeader, limit, answerTo};
-    LimitedTarget desk{limitHeader, limit, answerTo};
-    ScriptedServer free{[](const SeenRequest &request) { return answerTo(request, ""); }};
+    LimitedTarget serviceTarget{limitHeader, limit, answerTo};
+    ScriptedServer unlimited{[](const SeenRequest &request) { return answerTo(request, ""); }};
     Site site;
 };
 
@@ -98,50 +98,52 @@
 {
     char name[40];
     bool generation;
-    bool another;
+    bool hasUnlimitedTarget;
 };
 
 WorkCase workCases[] = {
         {"calls of a service", false, true},
         {"calls of a service, no other target", false, false},
-        {"generations and questions", true, true},
+        {"generations and load polls", true, true},
         {"generations, no other engine", true, false},
 };
 
 } // namespace
 
-// Guards against a target in need getting more from all instances than the limit in its answers.
-ParameterizedTestParameters(limitTold, sumOfInstancesHolds)
+// Guards against the instances together sending a target more requests than the rate limit in its
+// responses allows.
+ParameterizedTestParameters(targetLimit, holdsOverAllInstances)
 {
     return cr_make_param_array(WorkCase, workCases, std::size(workCases));
 }
 
-ParameterizedTest(WorkCase *given, limitTold, sumOfInstancesHolds)
+ParameterizedTest(WorkCase *param, targetLimit, holdsOverAllInstances)
 {
-    LimitedSite limited(given->another);
-    LimitedTarget &target = given->generation ? limited.engine : limited.desk;
+    LimitedSite limited(param->hasUnlimitedTarget);
+    LimitedTarget &target = param->generation ? limited.engine : limited.serviceTarget;
     std::atomic<std::size_t> notServed{0};
-    std::atomic<std::size_t> withoutReturn{0};
+    std::atomic<std::size_t> missingRetryAfter{0};
     target.nameLimit(true);
     {
-        const auto ask = [&](std::size_t instance) {
-            const FetchedAnswer answer = limited.send(given->generation, instance);
+        const auto sendRequest = [&](std::size_t instance) {
+            const FetchedAnswer answer = limited.send(param->generation, instance);
             notServed += answer.end.status == 200 ? 0 : 1;
             if (answer.end.status == 503 && findHeader(answer.headers, "Retry-After").empty())
-                ++withoutReturn;
+                ++missingRetryAfter;
         };
-        const Pressure first(15, 4, [&ask] { ask(0); });
-        const Pressure second(15, 4, [&ask] { ask(1); });
-        std::this_thread::sleep_for(played);
+        const Pressure first(15, 4, [&sendRequest] { sendRequest(0); });
+        const Pressure second(15, 4, [&sendRequest] { sendRequest(1); });
+        std::this_thread::sleep_for(loadDuration);
     }
-    const auto worst = static_cast<double>(target.worstWindow(heeded));
-    cr_log_info("%s: %.0f in the worst 4 s, %zu in the last 4 s", given->name, worst,
+    const auto worst = static_cast<double>(target.worstWindow(limitReactionTime));
+    cr_log_info("%s: %.0f in the worst 4 s, %zu in the last 4 s", param->name, worst,
                 target.gotWithin(4s));
-    cr_expect_leq(worst, target.mostAllowed(), "%s: %.0f", given->name, worst);
-    cr_expect_geq(static_cast<double>(target.gotWithin(4s)), limit * 4 / 2, "%s: left idle",
-                  given->name);
-    cr_expect_eq(withoutReturn, 0, "%s", given->name);
-    if (given->another)
-        cr_expect_eq(notServed, 0, "%s: %zu, the other target had room", given->name,
-                     notServed.load());
+    cr_expect_leq(worst, target.mostAllowed(), "%s: %.0f", param->name, worst);
+    cr_expect_geq(static_cast<double>(target.gotWithin(4s)), limit * 4 / 2,
+                  "%s: less than half of the limit is used", param->name);
+    cr_expect_eq(missingRetryAfter, 0, "%s", param->name);
+    if (param->hasUnlimitedTarget)
+        cr_expect_eq(notServed, 0,
+                     "%s: %zu requests not served although the other target has no limit",
+                     param->name, notServed.load());
 }
