--- a/include/jaytrack/Serve/gateway.h
+++ b/include/jaytrack/Serve/gateway.h
@@ -64,7 +64,7 @@
     bool idle() const;
 
     // Ends all generations immediately and logs the ID of every request in service.
-    void cut();
+    void abortRequests();
 
     // Set once this instance has received the configuration that it needs to serve.
     void setReady(bool isReady) { this->ready.store(isReady); }
--- a/include/jaytrack/Serve/generationcall.h
+++ b/include/jaytrack/Serve/generationcall.h
@@ -54,7 +54,7 @@
     void withdraw(std::string_view barredDigest);
 
     // Ends the call immediately because the instance stops without waiting for its requests.
-    void cut();
+    void abort();
 
     const std::string &id() const { return this->caller.requestId; }
 
--- a/include/jaytrack/Serve/instance.h
+++ b/include/jaytrack/Serve/instance.h
@@ -29,7 +29,7 @@
 
     // Returns true when a graceful shutdown is complete: all received requests are answered, and
     // each response has been sent or its caller has not read it within the delivery grace period.
-    // Returns true at the latest two seconds after cut().
+    // Returns true at the latest two seconds after abortRequests().
     bool drained() const;
 
     // Returns the number of requests whose responses have not been sent completely.
@@ -37,7 +37,7 @@
 
     // Ends all generations immediately and logs the ID of every request in service. The final
     // responses still have to be sent; see drained().
-    void cut();
+    void abortRequests();
 
     bool isReady() const;
     std::uint16_t callerPort() const;
--- a/lib/Serve/gateway.cpp
+++ b/lib/Serve/gateway.cpp
@@ -345,10 +345,10 @@
     return this->meter->inService() == 0;
 }
 
-void Gateway::cut()
+void Gateway::abortRequests()
 {
     for (const auto &call : this->registry.all())
-        call->cut();
+        call->abort();
     this->serviceHandler.logInService();
 }
 
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -719,7 +719,7 @@
     });
 }
 
-void GenerationCall::cut()
+void GenerationCall::abort()
 {
     const std::lock_guard lock(this->mutex);
     if (this->phase == Phase::Ended)
--- a/lib/Serve/instance.cpp
+++ b/lib/Serve/instance.cpp
@@ -39,9 +39,9 @@
 // arrived.
 constexpr int quietSweepsBeforeEnd = 3;
 
-// Time to send the final responses after cut(). A second stop signal asks for a quick end, and a
-// caller that reads receives the few kilobytes of its response well within this time, even over a
-// slow link.
+// Time to send the final responses after abortRequests(). A second stop signal asks for a quick
+// end, and a caller that reads receives the few kilobytes of its response well within this time,
+// even over a slow link.
 constexpr std::chrono::seconds cutGrace{2};
 
 std::int64_t newIncarnation()
@@ -355,7 +355,7 @@
     std::atomic<TimePoint> deliveryDeadline; // for sending responses once all requests are answered
     std::atomic<int> quietSweeps{0};         // consecutive sweeps without pending work
     std::atomic<TimePoint> cutDeadline{
-            TimePoint::max()}; // set by cut(); drained() returns true after it
+            TimePoint::max()}; // set by abortRequests(); drained() returns true after it
     SharedPlacementPolicy placement;
     PeerNode peers;
     std::vector<std::string> others; // names of the other live instances; control thread only
@@ -458,10 +458,10 @@
     return this->parts->unsentAnswers();
 }
 
-void Instance::cut()
+void Instance::abortRequests()
 {
     this->parts->cutDeadline.store(this->parts->clock.now() + cutGrace);
-    this->parts->gateway.cut();
+    this->parts->gateway.abortRequests();
 }
 
 bool Instance::isReady() const
--- a/tools/jaytrackd/main.cpp
+++ b/tools/jaytrackd/main.cpp
@@ -43,7 +43,7 @@
         }
         if (stopSignals > 1 && !cut) {
             cut = true;
-            instance.cut();
+            instance.abortRequests();
         }
     }
 }
--- a/unittests/Serve/stoptest.cpp
+++ b/unittests/Serve/stoptest.cpp
@@ -186,7 +186,7 @@
     std::this_thread::sleep_for(milliseconds(2500));
     cr_assert(inService(site) == 1);
     site.instances[0]->drain();
-    site.instances[0]->cut();
+    site.instances[0]->abortRequests();
     const std::string seen = readWhileEnding(site, socket);
     cr_assert(seen.find("event: error") != std::string::npos, "%zu bytes", seen.size());
     cr_assert(seen.ends_with("\r\n0\r\n\r\n"), "%zu bytes", seen.size());
