--- a/include/jaytrack/Net/callerconnection.h
+++ b/include/jaytrack/Net/callerconnection.h
@@ -1,5 +1,6 @@
-// The callers' side of an instance: connections that carry requests one after another, each
-// answered before the next one is read, and watched for the caller's leaving all the while.
+// HTTP/1.1 connections between callers and an instance. A connection serves its requests one after
+// another: each is answered before the next one is read. It keeps reading while it serves a
+// request, in order to detect that the caller disconnected.
 #ifndef JAYTRACK_NET_CALLERCONNECTION_H
 #define JAYTRACK_NET_CALLERCONNECTION_H
 
@@ -23,7 +24,7 @@
 
 class CallerConnection;
 
-// A whole request of a caller.
+// A completely received request of a caller.
 struct CallerRequest
 {
     MessageHead head;
@@ -31,7 +32,7 @@
     TimePoint arrived;
 };
 
-// Bounds on a connection, as they are now.
+// The current limits on a connection.
 struct ConnectionLimits
 {
     std::size_t headerBytes = 16384;
@@ -40,36 +41,38 @@
     std::chrono::milliseconds idleTimeout{15000};
 };
 
-// What serves the request that is being answered.
+// Receives connection events on behalf of the request being served.
 class CallerListener
 {
 public:
     virtual ~CallerListener() = default;
 
-    // The caller closed the connection; nothing can be told to it any more.
+    // The caller closed the connection; nothing can be sent to it any more.
     virtual void onCallerGone() = 0;
 
-    // Bytes that were written have left, so more may be written.
+    // Previously written bytes were sent, so more may be written.
     virtual void onCallerWritable() = 0;
 };
 
-// What requests go to.
+// Handles the requests of all connections of a server.
 class CallerHandler
 {
 public:
     virtual ~CallerHandler() = default;
     virtual void onRequest(std::shared_ptr<CallerConnection> connection, CallerRequest request) = 0;
 
-    // A request that cannot be read; the status says why. The connection answers and closes by
-    // itself.
+    // Reports a request that could not be read; the status says why. The connection sends the error
+    // response and closes by itself.
     virtual void onUnreadable(int status, std::string_view reason) = 0;
 
     virtual ConnectionLimits connectionLimits() const = 0;
 
-    // Whether answers shall ask callers to open a new connection, since this instance is stopping.
+    // Whether responses should ask callers to open a new connection because this instance is
+    // stopping.
     virtual bool stopping() const = 0;
 
-    // Memory that all buffered requests together may take; false refuses further bytes.
+    // Reserves memory from the budget shared by all buffered requests. If this returns false, the
+    // connection refuses further bytes.
     virtual bool reserveMemory(std::size_t bytes) = 0;
     virtual void releaseMemory(std::size_t bytes) = 0;
 };
@@ -85,26 +88,26 @@
 
     void start();
 
-    // Names what serves the request that was just handed over.
+    // Sets the listener for the request that was just passed to the handler.
     void attach(std::weak_ptr<CallerListener> serving) { this->listener = std::move(serving); }
 
-    // Answers whole. Headers must not contain framing.
+    // Sends a complete response. The headers must not contain framing headers.
     void respond(int status, std::span<const HttpHeader> headers, std::string_view body);
 
-    // Answers in pieces. finish() marks the end; abort() ends the connection without that mark, so
-    // that the answer cannot look complete. What was written before still leaves, after abort()
-    // within the time given.
+    // Sends a response in pieces. finish() marks its end; abort() closes the connection without
+    // that mark, so that the caller cannot take the response for complete. Bytes written earlier
+    // are still sent; after abort() only within the given time.
     void begin(int status, std::span<const HttpHeader> headers);
     void write(std::string_view bytes);
     void finish();
     void abort(std::chrono::milliseconds within);
 
-    // Bytes written that have not left yet.
+    // Bytes written but not sent yet.
     std::size_t pendingBytes() const { return this->queued.size() + this->inFlight.size(); }
 
     bool isOpen() const { return !this->closed; }
 
-    // Closes at once if no request is being read or answered and none has arrived.
+    // Closes the connection at once if no request is being read or answered and none has arrived.
     void closeIfIdle();
 
 private:
@@ -139,24 +142,24 @@
     std::weak_ptr<CallerListener> listener;
     Stage stage = Stage::Idle;
     CallerRequest request;
-    std::string unread; // bytes received and not parsed yet
+    std::string unread; // bytes received but not parsed yet
     std::string queued;
     std::string inFlight;
     std::array<char, 4096> incoming{};
     std::size_t reserved = 0;
     bool reading = false;
     bool keepAlive = false;
-    bool headOnly = false; // the request is HEAD, so its answer has no body
+    bool headOnly = false; // the request is HEAD, so its response has no body
     bool tooLarge = false;
     bool closeWhenSent = false;
     bool closed = false;
 };
 
-// What a server's callers hold.
+// The connections of a server and the response bytes that it still has to send.
 struct CallerBacklog
 {
-    std::size_t connections = 0; // open ones
-    std::size_t unsentBytes = 0; // of answers, written and not known to have left
+    std::size_t connections = 0; // open connections
+    std::size_t unsentBytes = 0; // response bytes written and not yet confirmed as sent
 };
 
 // Listens for callers and keeps track of their connections.
@@ -170,12 +173,12 @@
 
     std::uint16_t port() const { return this->acceptor.local_endpoint().port(); }
 
-    // Takes the connections that callers have made so far and no new ones any more.
+    // Accepts the connections that callers have made so far, then stops accepting.
     void stopListening();
 
     bool isListening() const { return this->acceptor.is_open(); }
 
-    // Closes the connections that serve nothing now.
+    // Closes the connections that are not serving a request.
     void closeIdle();
 
     CallerBacklog backlog() const;
--- a/include/jaytrack/Net/connectcheck.h
+++ b/include/jaytrack/Net/connectcheck.h
@@ -1,4 +1,5 @@
-// Whether anybody listens at an address, asked without sending a byte.
+// Checks whether a process listens at an address by opening a connection, without sending any
+// bytes.
 #ifndef JAYTRACK_NET_CONNECTCHECK_H
 #define JAYTRACK_NET_CONNECTCHECK_H
 
@@ -12,11 +13,11 @@
 
 enum class Listening {
     Yes,
-    Refused, // the machine answers, and no process listens there
-    Unknown  // no answer in time, or no way there
+    Refused, // the machine is reachable, but no process listens at the port
+    Unknown  // no reply within the time limit, or the address is unreachable
 };
 
-// Calls the function once, from the context's loop.
+// Calls done once, from the context's event loop.
 void checkListening(asio::io_context &context, const asio::ip::tcp::endpoint &endpoint,
                     std::chrono::milliseconds bound, std::function<void(Listening)> done);
 
--- a/include/jaytrack/Net/httpparser.h
+++ b/include/jaytrack/Net/httpparser.h
@@ -1,6 +1,6 @@
-// HTTP/1.1 messages out of a byte stream, by http_parser, with the strictness that a relay needs:
-// two parties that read one message's end differently would let a request be smuggled in another's
-// body.
+// Parses HTTP/1.1 messages from a byte stream with http_parser. The parser is strict because a
+// relay needs it: if two parties disagree about where a message ends, an attacker can smuggle a
+// request in the body of another one.
 #ifndef JAYTRACK_NET_HTTPPARSER_H
 #define JAYTRACK_NET_HTTPPARSER_H
 
@@ -18,10 +18,11 @@
 {
     std::string method; // of a request
     std::string target; // of a request: path and query
-    int status = 0;     // of an answer
+    int status = 0;     // of a response
     std::vector<HttpHeader> headers;
-    bool keepAlive = false; // the sender will go on using the connection
-    bool framed = false; // the end is marked by a length or by chunks, not by the connection's end
+    bool keepAlive = false; // the sender keeps the connection open for further messages
+    bool framed =
+            false; // a length or chunks mark the end of the body, not the end of the connection
 
     std::string_view header(std::string_view name) const { return findHeader(this->headers, name); }
     std::string_view path() const
@@ -53,22 +54,24 @@
         ParseState state = ParseState::NeedsMore;
     };
 
-    // Heads larger than maxHeadBytes are refused. The receiver must outlive the parser.
+    // Rejects heads larger than maxHeadBytes. The receiver must outlive the parser.
     HttpMessageParser(Reads reads, MessageReceiver &receiver, std::size_t maxHeadBytes);
     ~HttpMessageParser();
     HttpMessageParser(const HttpMessageParser &) = delete;
     HttpMessageParser &operator=(const HttpMessageParser &) = delete;
 
-    // Takes bytes up to the end of a message; what follows it is left to the caller.
+    // Consumes bytes up to the end of a message; the caller keeps the bytes that follow it.
     Fed feed(std::string_view bytes);
 
-    // The connection ended in order. Returns true if that completes an answer without a length.
+    // Handles an orderly end of the connection. Returns true if that completes a response without a
+    // length.
     bool finish();
 
     // Whether a message has begun but not ended.
     bool inMessage() const;
 
-    // The next answer has no body, whatever its headers say, since it is for a HEAD request.
+    // Declares that the next response has no body, whatever its headers say, because it answers a
+    // HEAD request.
     void expectNoBody();
 
 private:
--- a/include/jaytrack/Net/message.h
+++ b/include/jaytrack/Net/message.h
@@ -1,4 +1,4 @@
-// HTTP messages as plain values, shared by the server and the client side.
+// Value types for HTTP messages, shared by the server and the client.
 #ifndef JAYTRACK_NET_MESSAGE_H
 #define JAYTRACK_NET_MESSAGE_H
 
@@ -17,20 +17,21 @@
     std::string value;
 };
 
-// The value of the first header with that name, compared without regard to case; empty if absent.
+// Returns the value of the first header with the given name, compared case-insensitively; empty if
+// absent.
 std::string_view findHeader(std::span<const HttpHeader> headers, std::string_view name);
 
-// Whether two header names are the same; HTTP disregards their case.
+// Whether two header names are equal; HTTP header names are case-insensitive.
 bool sameHeaderName(std::string_view left, std::string_view right);
 
-// What a Retry-After header says in seconds, which may have a fraction; at most ten minutes.
-// Nothing for a date, or for what is no positive number.
+// Parses a Retry-After header given in seconds, which may have a fraction. The result is at most
+// ten minutes. Returns nothing for a date or for anything but a positive number.
 std::optional<std::chrono::milliseconds> parseRetryAfter(std::string_view value);
 
-// A number of requests a second; nothing for what is no such number.
+// Parses a number of requests per second; returns nothing if the value is not a valid rate.
 std::optional<double> parseRequestRate(std::string_view value);
 
-// A request as a server received it, whole.
+// A completely received request, as a server sees it.
 struct HttpRequest
 {
     std::string method;
@@ -41,7 +42,7 @@
 
     std::string_view header(std::string_view name) const { return findHeader(this->headers, name); }
 
-    // The decoded value of a query parameter; empty if absent or malformed.
+    // Returns the decoded value of a query parameter; empty if absent or malformed.
     std::string queryValue(std::string_view name) const;
 };
 
--- a/include/jaytrack/Net/socket.h
+++ b/include/jaytrack/Net/socket.h
@@ -1,4 +1,4 @@
-// What all TCP sockets of an instance have in common.
+// Socket options and address parsing shared by all TCP connections of an instance.
 #ifndef JAYTRACK_NET_SOCKET_H
 #define JAYTRACK_NET_SOCKET_H
 
@@ -10,12 +10,12 @@
 
 namespace jaytrack {
 
-// Sets the options of an open connection: no delay, and limits after which a silent peer counts as
-// lost. A connection may fall silent without a reset; without these limits whoever waits on it
-// waits until its own deadline.
+// Sets the options of an open connection: TCP_NODELAY, and limits after which an unresponsive peer
+// counts as lost. A connection may become unresponsive without a reset; without these limits, code
+// that waits on it would wait until its own deadline.
 void prepareSocket(asio::ip::tcp::socket &socket);
 
-// Reads IP:PORT.
+// Parses IP:PORT.
 Result<asio::ip::tcp::endpoint> parseEndpoint(std::string_view address);
 
 } // namespace jaytrack
--- a/include/jaytrack/Net/targetcall.h
+++ b/include/jaytrack/Net/targetcall.h
@@ -1,5 +1,5 @@
-// One request to one target on a connection of its own, with an exact account of whether any byte
-// of the request may have reached it. Nothing is ever sent again from here.
+// Sends one request to one target on its own connection and records exactly whether any byte of the
+// request may have reached the target. This class never resends a request.
 #ifndef JAYTRACK_NET_TARGETCALL_H
 #define JAYTRACK_NET_TARGETCALL_H
 
@@ -16,7 +16,7 @@
 
 namespace jaytrack {
 
-// The request as it goes onto the wire.
+// The request as it is sent.
 struct TargetRequest
 {
     asio::ip::tcp::endpoint endpoint;
@@ -30,36 +30,37 @@
 // How a call ended.
 struct TargetCallEnd
 {
-    bool whole = false;     // the answer arrived complete
+    bool whole = false;     // the complete response arrived
     bool bytesSent = false; // some byte of the request may have reached the target
     std::string_view reason;
-    bool lostConnection = false; // the connection ended before the answer did
+    bool lostConnection = false; // the connection ended before the response did
 };
 
-// Receives one answer.
+// Receives one response.
 class TargetCallListener
 {
 public:
     virtual ~TargetCallListener() = default;
     virtual void onAnswerHead(MessageHead head) = 0;
     virtual void onAnswerBody(std::string_view bytes) = 0;
-    virtual void onCallEnd(const TargetCallEnd &end) = 0; // last; not called after cancel()
+    virtual void onCallEnd(const TargetCallEnd &end) = 0; // the last call; not made after cancel()
 };
 
 class TargetCall final : public std::enable_shared_from_this<TargetCall>, private MessageReceiver
 {
 public:
-    // Starts the call. The listener hears nothing before this returns.
+    // Starts the call. The listener is not called before this returns.
     static std::shared_ptr<TargetCall> start(asio::io_context &context, TargetRequest request,
                                              std::weak_ptr<TargetCallListener> listener);
 
     TargetCall(asio::io_context &context, TargetRequest request,
                std::weak_ptr<TargetCallListener> listener);
 
-    // Closes the connection, by which the target learns that nobody waits any more.
+    // Closes the connection, which tells the target that the response is no longer wanted.
     void cancel();
 
-    // Stops or resumes taking bytes from the target, so that a slow caller costs no memory.
+    // Stops or resumes reading from the target, so that a slow caller does not make the instance
+    // buffer the response in memory.
     void setPaused(bool paused);
 
     bool bytesSent() const { return this->sent; }
@@ -85,11 +86,11 @@
     bool over = false;
     bool paused = false;
     bool reading = false;
-    bool interim = false; // the answer being read is a 1xx, which another one follows
+    bool interim = false; // the response being read is a 1xx, which another one follows
     bool answered = false;
 };
 
-// The bytes of a request with a body of known length.
+// Formats a request with a body of known length.
 std::string formatRequest(const TargetRequest &request);
 
 } // namespace jaytrack
--- a/lib/Net/callerconnection.cpp
+++ b/lib/Net/callerconnection.cpp
@@ -11,17 +11,19 @@
 
 namespace {
 
-// Bytes of a following request that are kept while one is served. Reading on is what shows that the
-// caller left; past this bound its leaving shows only when the answer is written.
+// Limit on the bytes of a following request that are buffered while one is served. The connection
+// keeps reading in order to detect that the caller disconnected; beyond this limit, the
+// disconnection is detected only when the response is written.
 constexpr std::size_t mostUnread = 64U << 10U;
 
-// How long a body may take after its head; as long as a caller's own patience on the sheets.
+// Time allowed for a body after its head; equals the time-out that callers are specified to use
+// themselves.
 constexpr std::chrono::seconds bodyTimeout{10};
 
-// How long the peer may take to read a last answer before the connection is closed under it.
+// Time that the peer has to read the last response before the connection is closed.
 constexpr std::chrono::seconds lingerTime{1};
 
-// The pause after a failed accept, which means that descriptors have run out.
+// Delay after a failed accept, which means that the process has run out of file descriptors.
 constexpr std::chrono::milliseconds acceptPause{20};
 
 constexpr int listenBacklog = 1024;
@@ -194,8 +196,8 @@
     this->timer.expires_after(bound);
     this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
         const auto self = weak.lock();
-        // One that fell due in the same round of the loop as what made it needless cannot be
-        // cancelled any more; it would refuse a request that had just begun.
+        // A timer that expires in the same iteration of the event loop as the event that makes it
+        // obsolete can no longer be cancelled; it would refuse a request that had just begun.
         const bool stale = self && self->timer.expiry() > asio::steady_timer::clock_type::now();
         if (!failure && self && !stale)
             self->onTimeout();
@@ -234,7 +236,8 @@
 {
     if (this->closed)
         return;
-    assert(this->stage == Stage::Serving && "only a request in service is answered");
+    assert(this->stage == Stage::Serving &&
+           "responses may be sent only while a request is being served");
     std::string framing;
     if (!hasNoBody(status) && !(this->headOnly && body.empty()))
         framing = "Content-Length: " + std::to_string(body.size()) + "\r\n";
@@ -248,7 +251,8 @@
 {
     if (this->closed)
         return;
-    assert(this->stage == Stage::Serving && "only a request in service is answered");
+    assert(this->stage == Stage::Serving &&
+           "responses may be sent only while a request is being served");
     this->send(this->formatHead(status, headers, "Transfer-Encoding: chunked\r\n"));
 }
 
@@ -274,7 +278,8 @@
     this->completeAnswer();
 }
 
-// Events of a stream that breaks may still wait for a slow caller, who has a right to them.
+// Events of a stream that is being aborted may still be queued for a slow caller and must be
+// delivered.
 void CallerConnection::abort(std::chrono::milliseconds within)
 {
     if (this->closed)
@@ -294,8 +299,8 @@
         return this->closeOnceSent();
     this->stage = Stage::Idle;
     this->expectWithin(this->handler.connectionLimits().idleTimeout);
-    // The next request may be here already; it is taken up from the event loop, so that a caller
-    // who sends many at once cannot make the stack grow.
+    // The next request may have arrived already. It is handled from the event loop, so that a
+    // caller that pipelines many requests cannot make the stack grow.
     asio::post(this->socket.get_executor(), [self = this->shared_from_this()] {
         self->consume();
         self->read();
@@ -353,28 +358,28 @@
         this->lingerThenClose();
 }
 
-// Closing with unread bytes resets the connection and may take the answer away from the caller, so
-// the own side is ended first and the rest read away.
+// Closing a socket with unread bytes resets the connection, and the caller may lose the response.
+// Therefore this shuts down the sending side first and reads the remaining input.
 void CallerConnection::lingerThenClose()
 {
     if (this->closed)
         return;
-    asio::error_code ignored; // a connection that cannot be ended in order is closed a second later
+    asio::error_code ignored; // if the shutdown fails, the connection is closed a second later
     this->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     this->unread.clear();
     this->expectWithin(lingerTime);
     this->read();
 }
 
-// Bytes of a request that is here already, though nobody has looked at it yet.
+// Whether bytes of a request have arrived but have not been read yet.
 bool CallerConnection::hasArrived() const
 {
-    asio::error_code failure; // a connection that cannot be asked has nothing to read either
+    asio::error_code failure; // if the query fails, there is nothing to read either
     return !this->unread.empty() || this->socket.available(failure) > 0;
 }
 
-// A process that was held up finds requests that came meanwhile; closing their connections would
-// leave them without an answer.
+// After a stall, the process finds requests that arrived meanwhile; closing their connections would
+// leave them without a response.
 void CallerConnection::closeIfIdle()
 {
     if (!this->closed && this->stage == Stage::Idle && this->pendingBytes() == 0 &&
@@ -390,7 +395,7 @@
     this->stage = Stage::Closing;
     this->listener.reset();
     this->timer.cancel();
-    asio::error_code ignored; // closing cannot fail in a way that matters to anybody
+    asio::error_code ignored; // no error of closing needs handling
     this->socket.close(ignored);
     this->dropBody();
 }
@@ -428,8 +433,8 @@
                 if (failure == asio::error::operation_aborted)
                     return;
                 if (failure) {
-                    // Without a pause a process out of descriptors would spin here and starve its
-                    // requests.
+                    // Without a delay, a process out of file descriptors would spin here and starve
+                    // its requests.
                     this->pause.expires_after(acceptPause);
                     this->pause.async_wait([this](const asio::error_code &stopped) {
                         if (!stopped && this->isListening())
@@ -455,20 +460,21 @@
     connection->start();
 }
 
-// Closing resets the connections that wait to be taken, with the requests that callers have sent on
-// them: many, if the process was held up.
+// Closing the acceptor resets the connections that wait to be accepted, and the requests already
+// sent on them are lost. After a stall of the process, these can be many, so they are accepted
+// first.
 void CallerServer::stopListening()
 {
     asio::error_code failure;
     this->acceptor.non_blocking(true, failure);
-    // A caller that left while it waited ends only its own place in the queue.
+    // A caller that disconnected while it waited affects only its own connection.
     while (!failure || failure == asio::error::connection_aborted) {
         asio::ip::tcp::socket waiting(this->acceptor.get_executor());
         this->acceptor.accept(waiting, failure);
         if (!failure)
             this->adopt(std::move(waiting));
     }
-    this->acceptor.close(failure); // nobody connects any more either way
+    this->acceptor.close(failure); // no caller can connect any more, whether or not this fails
     this->pause.cancel();
 }
 
--- a/lib/Net/connectcheck.cpp
+++ b/lib/Net/connectcheck.cpp
@@ -22,7 +22,7 @@
     {
         if (!this->done)
             return;
-        asio::error_code ignored; // nothing was sent, so nothing can be lost
+        asio::error_code ignored; // nothing was sent, so no data can be lost
         this->timer.cancel();
         this->socket.close(ignored);
         std::exchange(this->done, nullptr)(found);
--- a/lib/Net/httpparser.cpp
+++ b/lib/Net/httpparser.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// How http_parser says that neither a length nor chunks mark the end of a body.
+// The value by which http_parser indicates that neither a length nor chunks mark the end of a body.
 constexpr auto unknownLength = std::numeric_limits<std::uint64_t>::max();
 
 } // namespace
@@ -65,8 +65,8 @@
         return this->addHeadBytes(text.size());
     }
 
-    // A relay must agree with its peer on where a message ends, so only the one plain spelling of
-    // chunked framing is taken, and only once.
+    // A relay must agree with its peer on where a message ends. Therefore the parser accepts only
+    // the plain spelling of chunked framing, and only once per message.
     bool framingIsPlain() const
     {
         int encodings = 0;
@@ -80,8 +80,9 @@
         return encodings <= 1;
     }
 
-    // Debian's http_parser is built lenient: it takes "Content-Length :" for another header's name,
-    // which a peer may read as the length, and answers to requests that name no protocol.
+    // Debian builds http_parser in lenient mode. It accepts "Content-Length :" as the name of a
+    // different header, although a peer may read it as the length, and it accepts requests without
+    // a protocol version.
     bool headIsStrict() const
     {
         const bool known = this->parser.http_major == 1;
@@ -97,7 +98,7 @@
             this->malformed = true;
             return -1;
         }
-        this->parser.upgrade = 0; // another protocol on the connection is never agreed to
+        this->parser.upgrade = 0; // the relay never accepts a protocol upgrade
         this->head.method = this->requests
                                     ? http_method_str(static_cast<http_method>(this->parser.method))
                                     : "";
@@ -170,7 +171,7 @@
 {
     State &now = *this->state;
     now.ended = false;
-    // An empty feed means the connection's end to http_parser; that is what finish() is for.
+    // http_parser interprets empty input as the end of the connection; finish() handles that case.
     if (bytes.empty())
         return {};
     const std::size_t taken =
--- a/lib/Net/message.cpp
+++ b/lib/Net/message.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-// Whoever wants to be left alone for longer is not busy but gone.
+// Limit on an accepted Retry-After; a target that asks for a longer delay counts as unavailable
+// rather than busy.
 constexpr double longestRetrySeconds = 600;
 
 char lowered(char c)
--- a/lib/Net/socket.cpp
+++ b/lib/Net/socket.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 
-// A peer that leaves three probes a second apart unanswered, or sent bytes unconfirmed for as long,
-// is taken for lost: shorter than callers wait for the next event of a stream (7 s on the sheets),
-// longer than any stall of a lossy link between data centres.
+// A peer counts as lost when it leaves three probes, sent one second apart, unanswered or leaves
+// sent bytes unacknowledged for as long. This is shorter than the time that callers wait for the
+// next event of a stream (7 s by specification) and longer than any stall of a lossy link between
+// data centres.
 constexpr int probeAfterSeconds = 1;
 constexpr int probeGapSeconds = 1;
 constexpr int probesUnanswered = 3;
@@ -20,7 +21,7 @@
 
 void setOption(int descriptor, int level, int name, int value)
 {
-    // A socket that refuses an option still works, only slower to notice a loss.
+    // A socket without the option still works; it only takes longer to detect a lost peer.
     (void)::setsockopt(descriptor, level, name, &value, sizeof(value));
 }
 
--- a/lib/Net/targetcall.cpp
+++ b/lib/Net/targetcall.cpp
@@ -76,8 +76,8 @@
             [self = this->shared_from_this()](const asio::error_code &failure, std::size_t) {
                 self->outgoing.clear();
                 self->outgoing.shrink_to_fit();
-                // A target may answer without reading the whole body; the answer is
-                // read all the same, so a failed write alone ends nothing.
+                // A target may respond without reading the whole body. The response is read in any
+                // case, so a failed write does not end the call.
                 (void)failure;
             });
     this->read();
@@ -101,7 +101,7 @@
     if (this->over)
         return;
     if (failure) {
-        // Only an orderly end completes an answer without a length; after a reset bytes are
+        // Only an orderly shutdown completes a response without a length; after a reset, bytes are
         // missing.
         const bool orderly = failure == asio::error::eof;
         if (orderly && this->parser.inMessage() && this->parser.finish())
@@ -117,7 +117,7 @@
         if (fed.state == ParseState::MessageEnded) {
             if (this->answered)
                 return this->end(true, "complete");
-            continue; // an interim answer
+            continue; // an interim response
         }
         if (fed.state != ParseState::NeedsMore)
             return this->end(false, "garbled");
@@ -159,7 +159,7 @@
 void TargetCall::cancel()
 {
     this->over = true;
-    asio::error_code ignored; // closing cannot fail in a way that matters to anybody
+    asio::error_code ignored; // no error of closing needs handling
     this->timer.cancel();
     this->socket.close(ignored);
 }
--- a/unittests/Net/callerservertest.cpp
+++ b/unittests/Net/callerservertest.cpp
@@ -1,5 +1,6 @@
-// Callers' connections whose server is held up: the test decides when the event loop turns, so what
-// arrives and what falls due meanwhile is found together.
+// Tests caller connections of a server whose process stalls. The test runs the event loop itself,
+// so that input that arrives and timers that expire during the stall are handled in the same
+// iteration.
 #include "jaytrack/Net/callerconnection.h"
 #include "jaytrack/Support/clock.h"
 
@@ -16,7 +17,7 @@
 
 const std::string request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
-// Enough for bytes on loopback to arrive.
+// Time that suffices for bytes to arrive over loopback.
 constexpr milliseconds arrival{30};
 
 class Answering final : public CallerHandler
@@ -37,7 +38,7 @@
     int unreadable = 0;
 };
 
-// A server with one connection, and its caller's end.
+// A server with one connection, and the caller's end of it.
 struct Line
 {
     Line()
@@ -55,8 +56,8 @@
         std::this_thread::sleep_for(arrival);
     }
 
-    // Turns the loop and takes what comes, a block at a time with a pause between, until the
-    // connection ends or the time is over.
+    // Runs the event loop and reads block by block with a pause in between, until the connection
+    // ends or the time has passed.
     std::string readFor(milliseconds time, milliseconds pause = milliseconds(0))
     {
         const auto end = std::chrono::steady_clock::now() + time;
@@ -83,8 +84,9 @@
 
 } // namespace
 
-// A caller that sent its next request on a kept connection got no answer. The process was held up
-// before it looked for idle connections, and closed this one with the request unread.
+// A caller that sent its next request on a kept-alive connection got no response. The process
+// stalled before it checked for idle connections and closed this one although the request was
+// waiting unread.
 Test(callerServer, connectionWithAnArrivedRequestIsNotIdle)
 {
     Line line;
@@ -101,9 +103,9 @@
     cr_assert_eq(line.server.backlog().connections, 0);
 }
 
-// A caller behind a slow link lost half of a large answer on a kept connection: the time for which
-// a connection may be idle was counted from the moment at which its answer was handed on, so it ran
-// out while the answer was still leaving.
+// A caller on a slow link lost half of a large response on a kept-alive connection. The idle
+// time-out was counted from the moment at which the response was queued, so it expired while the
+// response was still being sent.
 Test(callerServer, answerThatIsLeavingIsNotIdle)
 {
     Line line;
@@ -114,9 +116,9 @@
     cr_assert(seen.size() > line.handler.body.size(), "%zu bytes", seen.size());
 }
 
-// A caller was told that its request had come too slowly though it had just begun. The process was
-// held up, and the time for which the connection might be idle ran out in the same round of the
-// event loop in which the first part of the request was read.
+// A request was rejected as too slow (408) although it had just begun. The process stalled, and the
+// idle time-out expired in the same iteration of the event loop that read the first part of the
+// request.
 Test(callerServer, timeThatNoLongerCountsEndsNothing)
 {
     Line line;
--- a/unittests/Net/httpparsertest.cpp
+++ b/unittests/Net/httpparsertest.cpp
@@ -1,4 +1,5 @@
-// Messages that must be read one way only, and those that must not be read at all.
+// Tests the framing of HTTP messages: which messages are accepted, where they end, and which are
+// rejected.
 #include "jaytrack/Net/httpparser.h"
 
 #include <criterion/criterion.h>
@@ -91,7 +92,7 @@
     cr_assert_eq(collector.body, std::string(param->body), "%s", param->name);
 }
 
-// What follows a message is left for the next one, however the bytes are cut.
+// Bytes that follow a message belong to the next one, wherever the input is split.
 Test(httpParser, pipelinedRequestsStayApart)
 {
     const std::string text =
@@ -113,7 +114,8 @@
     }
 }
 
-// An answer without a length is whole only if its connection ends in order; with one, never early.
+// A response without a length is complete only if its connection ends in order; a response with a
+// length is never complete before its last byte.
 Test(httpParser, connectionEndCompletesOnlyUnframedAnswers)
 {
     Collector unframed;
