--- a/include/jaytrack/Http/client.h
+++ b/include/jaytrack/Http/client.h
@@ -1,4 +1,4 @@
-// An HTTP/1.1 client over libcurl: many streams on few threads, with flow control.
+// An HTTP/1.1 client based on libcurl. It runs many streams on few threads, with flow control.
 #ifndef JAYTRACK_HTTP_CLIENT_H
 #define JAYTRACK_HTTP_CLIENT_H
 
@@ -20,30 +20,32 @@
     std::vector<HttpHeader> headers;
     std::string body;
     std::chrono::milliseconds connectTimeout{500};
-    std::chrono::milliseconds totalTimeout{0}; // 0 is unbounded
-    // False forces a new connection. libcurl silently sends a request again when a kept connection
-    // breaks before the answer's first byte, which would run a non-idempotent request twice.
+    std::chrono::milliseconds totalTimeout{0}; // 0 means no limit
+    // Whether the request may be sent twice. False forces a new connection: when a reused
+    // connection breaks before the first byte of the response, libcurl silently resends the
+    // request, which would run a non-idempotent request twice.
     bool mayRepeat = false;
 };
 
 // How a call ended.
 struct HttpCallEnd
 {
-    bool whole = false;       // the answer arrived complete
+    bool whole = false;       // the complete response arrived
     bool maySentBytes = true; // false only if no connection was made, so nothing reached the peer
     int status = 0;
     std::string error;
 };
 
-// Receives one answer. All functions are called from one thread of the client and must not block.
+// Receives one response. All functions are called from one thread of the client and must not block.
 class HttpCallListener
 {
 public:
     virtual ~HttpCallListener() = default;
     virtual void onHeaders(int status, std::span<const HttpHeader> headers) = 0;
 
-    // Takes the next bytes; false leaves them in the client, which stops reading from the peer
-    // until HttpClient::resume is called, so that a slow reader costs no memory.
+    // Receives the next bytes. Returning false leaves them in the client, which stops reading from
+    // the peer until HttpClient::resume is called, so that a slow reader does not make the client
+    // buffer the response.
     virtual bool onData(std::string_view data) = 0;
 
     virtual void onEnd(const HttpCallEnd &end) = 0;
@@ -62,13 +64,14 @@
 
     HttpCallId start(HttpCall call, std::shared_ptr<HttpCallListener> listener);
 
-    // Goes on reading for a call whose listener declined data.
+    // Resumes reading for a call whose listener refused data.
     void resume(HttpCallId call);
 
-    // Ends all threads; no listener is called any more. For the end of a process.
+    // Stops all threads; no listener is called afterwards. For use at process exit.
     void stop();
 
-    // Ends a call; the listener hears nothing more once the client's thread has taken this up.
+    // Cancels a call. The listener is not called any more once the client's thread has processed
+    // the cancellation.
     void cancel(HttpCallId call);
 
 private:
@@ -77,7 +80,7 @@
     std::unique_ptr<struct HttpClientCounter> counter;
 };
 
-// What fetch() returns.
+// The result of fetch().
 struct FetchedAnswer
 {
     HttpCallEnd end;
@@ -85,10 +88,11 @@
     std::string body;
 };
 
-// Sends one call and waits for the whole answer. For tools and start-up, not the request path.
+// Sends one call and waits for the complete response. For tools and start-up, not for the request
+// path.
 FetchedAnswer fetch(HttpClient &client, HttpCall call);
 
-// Sends one call and hands the whole answer, at most maxBytes of it, to a function.
+// Sends one call and passes the complete response, limited to maxBytes, to a function.
 void fetchLater(HttpClient &client, HttpCall call, std::size_t maxBytes,
                 std::function<void(FetchedAnswer)> done);
 
--- a/include/jaytrack/Http/server.h
+++ b/include/jaytrack/Http/server.h
@@ -1,5 +1,5 @@
-// An HTTP/1.1 server over RESTinio behind a small interface, so that TLS or another library can
-// take its place without touching what answers the requests.
+// An HTTP/1.1 server based on RESTinio, behind a small interface, so that TLS can be added or
+// another library used without changes to the request handlers.
 #ifndef JAYTRACK_HTTP_SERVER_H
 #define JAYTRACK_HTTP_SERVER_H
 
@@ -13,12 +13,12 @@
 
 namespace jaytrack {
 
-// The answer to one request. Functions may be called from any thread, one at a time. Either
-// respond() is called once, or begin(), then write() any number of times, then finish().
+// Writes the response to one request. Functions may be called from any thread, one at a time.
+// Either respond() is called once, or begin(), then write() any number of times, then finish().
 class ResponseWriter
 {
 public:
-    // Told whether the bytes left for the peer; false means that the connection is lost.
+    // Called with whether the bytes were sent to the peer; false means that the connection is lost.
     using WriteDone = std::function<void(bool sent)>;
 
     virtual ~ResponseWriter() = default;
@@ -28,7 +28,7 @@
     virtual void finish() = 0;
 };
 
-// What answers requests. handle() is called from several threads and must not block.
+// Handles requests. handle() is called from several threads and must not block.
 class HttpHandler
 {
 public:
@@ -36,11 +36,11 @@
     virtual void handle(HttpRequest request, std::shared_ptr<ResponseWriter> writer) = 0;
 };
 
-// Where and within which bounds a server listens.
+// The listening address and the limits of a server.
 struct HttpServerOptions
 {
     std::string address = "127.0.0.1";
-    std::uint16_t port = 0; // 0 takes any free port
+    std::uint16_t port = 0; // 0 selects any free port
     std::size_t threads = 2;
     std::size_t maxHeaderBytes = 16384;
     std::size_t maxBodyBytes = 4U << 20U;
@@ -53,11 +53,12 @@
     virtual ~HttpServer() = default;
     virtual std::uint16_t port() const = 0;
 
-    // Requests whose answers have not left whole and still can: those in the handler's hands and
-    // those that are answered while the system has not taken all of the answer.
+    // Number of requests whose responses are not fully sent and still can be: those that the
+    // handler has not answered, and those whose response the operating system has not accepted
+    // completely.
     virtual std::size_t unsent() const = 0;
 
-    // Ends at once; what has not left is lost.
+    // Stops the server at once; unsent data is lost.
     virtual void stop() = 0;
 };
 
--- a/lib/Http/client.cpp
+++ b/lib/Http/client.cpp
@@ -88,9 +88,9 @@
     return size * count;
 }
 
-// Whether the failure shows that no connection stood, so that no byte of the request left. The
-// error alone does not show it: where a kept connection breaks before the answer, libcurl sends the
-// request again by itself, and the error is that of the second connection.
+// Whether a failed call established no connection, so that no byte of the request was sent. The
+// error code alone does not show this: when a reused connection breaks before the response, libcurl
+// resends the request by itself, and the error is that of the second connection.
 bool failedBeforeSending(CURLcode code, CURL *easy)
 {
     long sentBytes = 0;
@@ -182,8 +182,8 @@
 private:
     static constexpr long maxKeptConnections = 4096;
 
-    // One socket of libcurl's and what it waits for. The generation distinguishes a wait that was
-    // armed before the socket number was closed and used anew.
+    // A libcurl socket and the events it waits for. The generation distinguishes a wait that was
+    // started before the descriptor number was closed and reused.
     struct Watch
     {
         Watch(asio::io_context &owner, curl_socket_t fd)
@@ -247,7 +247,7 @@
         return 0;
     }
 
-    // libcurl closes its sockets itself, so asio must let go of the number before that.
+    // libcurl closes its sockets itself, so asio must release the descriptor before that.
     void forget(curl_socket_t fd)
     {
         const auto found = this->watches.find(fd);
--- a/lib/Http/server.cpp
+++ b/lib/Http/server.cpp
@@ -18,8 +18,8 @@
 using RestinioServer = restinio::http_server_t<Traits>;
 using StreamBuilder = restinio::response_builder_t<restinio::chunked_output_t>;
 
-// The gap between two writes after which RESTinio gives a connection up. Streams send a comment
-// far more often than this, so only a handler that forgot its request runs into it.
+// Maximum time between two writes, after which RESTinio closes the connection. Streams send a
+// comment far more often than this, so only a request that its handler forgot reaches the limit.
 constexpr std::chrono::minutes handlerGap{30};
 constexpr std::chrono::seconds idleConnection{60};
 constexpr std::chrono::seconds writeBound{60};
@@ -32,20 +32,20 @@
 
 class RestinioWriter;
 
-// Counts the requests of one server whose answers have not left whole. It outlives the server,
-// since writers do.
+// Counts the requests of one server whose responses are not fully sent. The counter outlives the
+// server because writers do.
 using AnswerCount = std::shared_ptr<std::atomic<std::size_t>>;
 
-// One request more in the count, until the pointer goes.
+// Increments the count until the returned pointer is released.
 std::shared_ptr<void> countIn(const AnswerCount &count)
 {
     count->fetch_add(1);
     return {count.get(), [count](void *) { count->fetch_sub(1); }};
 }
 
-// The writers that still hold a connection of one server. A handler may keep a writer for longer
-// than the server lives; a connection that went after its server would touch freed memory, so the
-// server takes the connections away from the writers before it goes.
+// The writers that still hold a connection of one server. A handler may keep a writer beyond the
+// lifetime of the server; a connection destroyed after its server would access freed memory, so the
+// server detaches the connections from the writers before it is destroyed.
 class OpenWriters
 {
 public:
@@ -145,9 +145,9 @@
     }
 
 private:
-    // An answer that is handed over may wait for its caller for long; a server that ended on the
-    // strength of the handing over would cut it. RESTinio drops this once the last byte has left
-    // or the connection is lost.
+    // A response passed to RESTinio may wait for its caller for a long time. If the server stopped
+    // as soon as it was passed on, the response would be truncated. RESTinio destroys this callback
+    // once the last byte is sent or the connection is lost.
     restinio::write_status_cb_t onceSent()
     {
         return [kept = std::move(this->owed)](const asio::error_code &) {};
@@ -158,7 +158,7 @@
     restinio::request_handle_t request;
     std::optional<StreamBuilder> stream;
     std::shared_ptr<OpenWriters> openWriters;
-    std::shared_ptr<void> owed; // counts this answer in until it has left
+    std::shared_ptr<void> owed; // keeps this response counted until it is sent
 };
 
 void OpenWriters::detachAll()
