--- a/include/jaytrack/Config/document.h
+++ b/include/jaytrack/Config/document.h
@@ -1,5 +1,5 @@
-// The configuration document: what the platform publishes to every instance, in force as a whole
-// under one revision.
+// The configuration document that the platform publishes to every instance. It takes effect as a
+// whole, under one revision.
 #ifndef JAYTRACK_CONFIG_DOCUMENT_H
 #define JAYTRACK_CONFIG_DOCUMENT_H
 
@@ -17,10 +17,11 @@
 
 namespace jaytrack {
 
-// The platform holds values up to this size.
+// The largest value that the platform stores.
 inline constexpr std::size_t maxDocumentBytes = 1'000'000;
 
-// What an engine's operators say that it honours. Nothing is assumed that is not said.
+// The features that an engine supports according to its operators. A feature that is not declared
+// is not assumed.
 struct EngineAbilities
 {
     bool resume = false;
@@ -51,7 +52,7 @@
     bool leaving = false;
 };
 
-// Which requests of a service may be repeated. A request that no route matches is not idempotent.
+// Which requests of a service may be repeated. A request that matches no route is not idempotent.
 struct Route
 {
     std::string method;
@@ -65,26 +66,26 @@
     std::string name;
     std::vector<ServiceTarget> targets;
     std::vector<Route> routes;
-    double objectiveShare = 0.99; // of requests that must be answered
-    bool deduplicates = false;    // honours Idempotency-Key over all its targets
+    double objectiveShare = 0.99; // share of requests that must be answered
+    bool deduplicates = false;    // honours Idempotency-Key across all its targets
     std::chrono::milliseconds timeout{10'000};
 
     bool isIdempotent(std::string_view method, std::string_view path) const;
 };
 
-// Which of a model's requests may wait, and for how long.
+// Whether requests for a model may wait, and for how long, and the objectives for the model.
 struct Model
 {
     std::string name;
     bool mayWait = true;
     std::chrono::milliseconds maxWait{30'000};
-    int priority = 0;            // larger goes first
-    bool repeatable = true;      // a generation of which nothing was seen may start again elsewhere
-    double overflowBound = 0.02; // accepted chance that an engine's memory overflows
+    int priority = 0;            // larger values are served first
+    bool repeatable = true;      // a generation without output may restart on another engine
+    double overflowBound = 0.02; // accepted probability that an engine's memory overflows
     std::chrono::milliseconds silenceTimeout{20'000}; // longest gap between two tokens
     std::chrono::milliseconds firstTokenObjective{390};
     std::chrono::milliseconds stallObjective{2'000};
-    double objectiveShare = 0.95; // of requests that must keep each objective
+    double objectiveShare = 0.95; // share of requests that must meet each objective
 };
 
 // One customer.
@@ -96,25 +97,27 @@
     std::uint32_t maxConcurrent = 100; // on one instance
 };
 
-// A checked document. Immutable once parsed; requests hold on to the one they were decided under.
+// A validated document, immutable once parsed. A request keeps the document under which its
+// decisions were made.
 class Document
 {
 public:
-    // Parses and checks the compiled JSON form. On failure the first problem is named.
+    // Parses and checks the compiled JSON form. On failure, returns the first problem.
     static Result<std::shared_ptr<const Document>> parse(std::string_view json,
                                                          std::uint64_t revision);
 
-    // The compiled JSON form; equal documents give equal bytes.
+    // Returns the compiled JSON form; equal documents give equal bytes.
     std::string serialise() const;
 
-    // Every fault in the document: duplicate names, dangling references.
+    // Returns every fault in the document: duplicate names and dangling references.
     std::vector<Error> check() const;
 
     const Model *findModel(std::string_view name) const;
     const Service *findService(std::string_view name) const;
     const Engine *findEngine(std::string_view name) const;
 
-    // The customer whose key has this digest; null if none. Takes the same time for every digest.
+    // Returns the customer whose key has this digest; null if none. Takes the same time for every
+    // digest.
     const Customer *findCustomerByDigest(std::string_view digestHex) const;
 
     std::uint64_t revision = 0;
@@ -123,7 +126,7 @@
     std::vector<Service> services;
     std::vector<Customer> customers;
 
-    // Builds the look-up tables; call after filling the lists by hand.
+    // Builds the look-up tables; call it after filling the lists directly.
     void index();
 
 private:
@@ -131,7 +134,7 @@
     std::map<std::string, std::size_t, std::less<>> customersByDigestPrefix;
 };
 
-// A new document and an old one in operators' words, one line for each change.
+// Describes the differences between two documents for operators, one line per change.
 std::vector<std::string> describeChanges(const Document &from, const Document &to);
 
 } // namespace jaytrack
--- a/include/jaytrack/Config/documentstore.h
+++ b/include/jaytrack/Config/documentstore.h
@@ -1,4 +1,4 @@
-// Holds the document in force on one instance. Revisions only ever go up.
+// Holds the current configuration document of one instance. Its revision never decreases.
 #ifndef JAYTRACK_CONFIG_DOCUMENTSTORE_H
 #define JAYTRACK_CONFIG_DOCUMENTSTORE_H
 
@@ -13,41 +13,42 @@
 
 namespace jaytrack {
 
-// How an offered document was taken.
+// The result of offering a document.
 enum class OfferVerdict {
-    Accepted, // newer than before, now in force
-    Same,     // the revision in force
-    Stale,    // older; refused, whoever brought it
-    Faulty    // malformed; the one in force stays
+    Accepted, // newer than the previous document, now current
+    Same,     // the current revision
+    Stale,    // older than the current one; rejected whatever its source
+    Faulty    // malformed; the current document is kept
 };
 
-// The document in force. Functions may be called from any thread.
+// Stores the current document. Functions may be called from any thread.
 class DocumentStore
 {
 public:
     using Watcher = std::function<void(const std::shared_ptr<const Document> &)>;
 
-    // Offers a document. Only a strictly newer, well-formed one comes into force: a stale replica
-    // of the service, a peer that was paused or an instance that has just started may all bring an
-    // older one, and none of them can take back what was accepted.
+    // Offers a document. It takes effect only if it is well-formed and strictly newer than the
+    // current one: a stale replica of the service, a peer that was paused or an instance that has
+    // just started may offer an older one, which must not revert an accepted document.
     OfferVerdict offer(std::string_view bytes, std::uint64_t revision, std::string_view source);
 
-    // The document in force; null before the first.
+    // Returns the current document; null before the first one is accepted.
     std::shared_ptr<const Document> current() const { return this->inForce.get(); }
 
     std::uint64_t revision() const;
 
-    // The bytes in force with their revision, to hand on to a peer.
+    // Returns the bytes and the revision of the current document, for sending to a peer.
     std::pair<std::uint64_t, std::string> bytes() const;
 
-    // Called after each change, from the thread that offered it. Set before the first offer.
+    // Sets a function that is called after each change, from the thread that offered the document.
+    // Call this before the first offer.
     void watch(Watcher watcher);
 
 private:
-    // What a document of this revision would be, well-formedness aside.
+    // Returns the verdict for a document of this revision, assuming that it is well-formed.
     OfferVerdict judge(std::uint64_t revision) const;
 
-    std::mutex offers;        // one comes into force at a time
+    std::mutex offers;        // serialises changes of the current document
     mutable std::mutex mutex; // guards the fields below
     Snapshot<Document> inForce;
     std::string currentBytes;
--- a/include/jaytrack/Config/inventory.h
+++ b/include/jaytrack/Config/inventory.h
@@ -1,4 +1,5 @@
-// Reads the operators' exported inventory and their rules, and compiles both into one document.
+// Reads the inventory exported by the operators and their rules, and compiles both into one
+// document.
 #ifndef JAYTRACK_CONFIG_INVENTORY_H
 #define JAYTRACK_CONFIG_INVENTORY_H
 
@@ -7,8 +8,8 @@
 
 namespace jaytrack {
 
-// Compiles an inventory and a rules file, both TOML. Every fault in either is added to problems;
-// the document is only fit for use if none was.
+// Compiles an inventory and a rules file, both in TOML. Adds every fault in either file to
+// problems; the document may be used only if there is none.
 Document compileInventory(const std::string &inventoryFile, const std::string &rulesFile,
                           Problems &problems);
 
--- a/lib/Config/document.cpp
+++ b/lib/Config/document.cpp
@@ -152,7 +152,7 @@
         fromJson(entry, items.emplace_back());
 }
 
-// Collects the names of one kind of entry and reports those that come twice.
+// Collects the names of one kind of entry and reports duplicates.
 class NameCheck
 {
 public:
@@ -295,8 +295,8 @@
     return found == this->enginesByName.end() ? nullptr : &this->engines[found->second];
 }
 
-// The map is searched by the digest of what the caller sent, so the time it takes tells nothing
-// about a stored key; the final comparison is in constant time all the same.
+// The map is searched by the digest of the key that the caller sent, so the search time reveals
+// nothing about a stored key. The final comparison still takes constant time.
 const Customer *Document::findCustomerByDigest(std::string_view digestHex) const
 {
     const auto found = this->customersByDigestPrefix.find(digestHex);
--- a/lib/Config/documentstore.cpp
+++ b/lib/Config/documentstore.cpp
@@ -21,7 +21,8 @@
     }
     {
         const std::lock_guard offering(this->offers);
-        // Two sources may have offered at once; the one that came second may be the older.
+        // Two sources may offer documents concurrently, and the later offer may be the older
+        // document.
         const OfferVerdict late = this->judge(revision);
         if (late != OfferVerdict::Accepted)
             return late;
--- a/lib/Config/inventory.cpp
+++ b/lib/Config/inventory.cpp
@@ -43,7 +43,8 @@
         root.finish();
     }
 
-    // An engine's model must have rules; said at the engine, where the name is misspelt.
+    // An engine's model must have rules. A missing model is reported at the engine, where the name
+    // is misspelt.
     void checkModels()
     {
         for (auto &[entry, model] : this->modelUses) {
@@ -63,7 +64,7 @@
         return name;
     }
 
-    // Reads a name and reports it if another entry of the same kind has it.
+    // Reads a name and reports it if another entry of the same kind has the same name.
     template <typename Item>
     std::string uniqueName(TomlTable &entry, const std::vector<Item> &others)
     {
--- a/unittests/Config/documenttest.cpp
+++ b/unittests/Config/documenttest.cpp
@@ -15,7 +15,7 @@
 
 const std::string goodDocument = R"({"models":[],"engines":[],"services":[],"customers":[]})";
 
-// A file with the given text that goes when the test does.
+// A file with the given text, removed when the test ends.
 class TemporaryFile
 {
 public:
@@ -73,7 +73,7 @@
     return cr_make_param_array(BadDocument, cases, std::size(cases));
 }
 
-// Whatever is wrong with a document, the one in force stays.
+// A faulty document is rejected and leaves the current one in effect, whatever the fault.
 ParameterizedTest(BadDocument *param, document, refusesTheFaulty)
 {
     const auto parsed = Document::parse(param->text, 2);
@@ -87,8 +87,9 @@
     cr_assert(store.current()->revision == 1);
 }
 
-// Symptom: a rule that was taken back is in force again. Events: a replica that is behind, or a
-// peer that was paused, offers what it has. Cause: taking the latest word for the newest.
+// Guards against a revoked rule taking effect again: a lagging replica or a peer that was paused
+// offers its older document, and the store accepts the latest offer instead of the highest
+// revision.
 Test(documentstore, neverReverts)
 {
     DocumentStore store;
@@ -122,7 +123,7 @@
 
 struct BadSettings
 {
-    char line[80]; // added to settings that are good without it
+    char line[80]; // added to otherwise valid settings
     ResultCode code;
     char key[40];
 };
@@ -154,7 +155,7 @@
     cr_assert(contains(problems, param->code, param->key), "%s", problems[0].text().c_str());
 }
 
-// All faults of a file are told at once, so that nobody mends them one start at a time.
+// All faults of a file are reported in one run, so that operators need not restart once per fault.
 Test(settings, tellsAllAtOnce)
 {
     const TemporaryFile file("name = 7\nwhat = 1\n[peers]\naddress = \"x\"\nport = 99999\n");
