--- a/include/jaytrack/Support/boottimeclock.h
+++ b/include/jaytrack/Support/boottimeclock.h
@@ -1,4 +1,4 @@
-// A clock that counts on while the machine is suspended.
+// A monotonic clock that keeps running while the machine is suspended.
 #ifndef JAYTRACK_SUPPORT_BOOTTIMECLOCK_H
 #define JAYTRACK_SUPPORT_BOOTTIMECLOCK_H
 
@@ -6,9 +6,9 @@
 
 namespace jaytrack {
 
-// The steady clock stands still while a machine is suspended, so an instance that woke up would
-// take what it knew before for fresh and serve keys that were taken away meanwhile. This one counts
-// on.
+// The steady clock stops while a machine is suspended, so an instance would treat its old state as
+// fresh after resuming and accept keys that were revoked meanwhile. This clock includes the time of
+// suspension.
 class BoottimeClock final : public Clock
 {
 public:
--- a/include/jaytrack/Support/clock.h
+++ b/include/jaytrack/Support/clock.h
@@ -1,4 +1,4 @@
-// The clock as an interface, so that tests and randomised runs decide what time it is.
+// The clock interface, which lets tests and randomised runs control the time.
 #ifndef JAYTRACK_SUPPORT_CLOCK_H
 #define JAYTRACK_SUPPORT_CLOCK_H
 
@@ -11,13 +11,13 @@
 using Duration = std::chrono::nanoseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// A duration as log lines give it.
+// Converts a duration to milliseconds, the unit of log lines.
 inline std::int64_t toMillis(Duration time)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(time).count();
 }
 
-// A monotonic clock that counts on while the process is stopped.
+// A monotonic clock that keeps running while the process is stopped.
 class Clock
 {
 public:
@@ -32,7 +32,7 @@
     TimePoint now() const override { return std::chrono::steady_clock::now(); }
 };
 
-// A clock that moves only when told to.
+// A clock that advances only by calls of advance().
 class ManualClock final : public Clock
 {
 public:
--- a/include/jaytrack/Support/commandline.h
+++ b/include/jaytrack/Support/commandline.h
@@ -1,4 +1,4 @@
-// What the command lines of all programs have in common: one style of help and of errors.
+// Command line parsing shared by all programs, for uniform help texts and error messages.
 #ifndef JAYTRACK_SUPPORT_COMMANDLINE_H
 #define JAYTRACK_SUPPORT_COMMANDLINE_H
 
@@ -13,8 +13,8 @@
 // Exit codes of every program.
 enum ExitCode { ExitGood = 0, ExitFailed = 1, ExitUsage = 2 };
 
-// Parses the command line. Returns true if the program should go on; otherwise help or a complaint
-// was printed and the exit code is set.
+// Parses the command line. Returns true if the program should continue; otherwise, help or an error
+// message was printed and the exit code is set.
 bool parseCommandLine(int argc, const char *const *argv,
                       const boost::program_options::options_description &options,
                       const std::string &synopsis, boost::program_options::variables_map &values,
@@ -28,7 +28,8 @@
     int (*run)(int argc, const char *const *argv);
 };
 
-// Runs the command that the first argument names, with the rest; else prints help or a complaint.
+// Runs the command named by the first argument with the remaining arguments; otherwise prints help
+// or an error message.
 int runCommand(std::string_view program, std::span<const Command> commands, int argc,
                const char *const *argv);
 
--- a/include/jaytrack/Support/compression.h
+++ b/include/jaytrack/Support/compression.h
@@ -1,4 +1,4 @@
-// Compression of values that are passed between instances, by zlib.
+// zlib compression of values that are passed between instances.
 #ifndef JAYTRACK_SUPPORT_COMPRESSION_H
 #define JAYTRACK_SUPPORT_COMPRESSION_H
 
@@ -9,11 +9,11 @@
 
 namespace jaytrack {
 
-// The bytes compressed; empty if that fails.
+// Returns the compressed bytes; empty on failure.
 std::string compressed(std::string_view bytes);
 
-// What was compressed; nothing if it is not of the size that it is said to have been, or that size
-// is above the bound: a few bytes from a stray can claim to hold gigabytes.
+// Returns the decompressed bytes. Returns nothing if their size is not plainSize, or if plainSize
+// is above the limit: a malformed message of a few bytes can claim to hold gigabytes.
 std::optional<std::string> decompressed(std::string_view bytes, std::size_t plainSize,
                                         std::size_t mostBytes);
 
--- a/include/jaytrack/Support/keyring.h
+++ b/include/jaytrack/Support/keyring.h
@@ -1,5 +1,5 @@
-// The fleet's shared keys: authenticates messages between instances and the texts that callers
-// carry from one instance to another.
+// The shared keys of the fleet. They authenticate messages between instances and the tokens that
+// callers carry from one instance to another.
 #ifndef JAYTRACK_SUPPORT_KEYRING_H
 #define JAYTRACK_SUPPORT_KEYRING_H
 
@@ -10,20 +10,20 @@
 
 namespace jaytrack {
 
-// Signs with the first key and accepts what any key signed, so that keys rotate without a moment
-// in which instances reject each other: append the new key everywhere, move it to the front
-// everywhere, remove the old one everywhere.
+// Signs with the first key and accepts signatures of any key. Keys can therefore be rotated without
+// a time in which instances reject each other's messages: append the new key everywhere, move it to
+// the front everywhere, remove the old one everywhere.
 class KeyRing
 {
 public:
-    // At least one key must be given.
+    // Requires at least one key.
     explicit KeyRing(std::vector<std::string> secrets);
 
-    // The purpose keeps a message of one kind from passing for another.
+    // The purpose prevents a message of one kind from being accepted as another kind.
     std::string sign(std::string_view purpose, std::string_view data) const;
     bool verify(std::string_view purpose, std::string_view data, std::string_view mac) const;
 
-    // A text for URLs and headers that only holders of a key can make or change.
+    // Creates a token for URLs and headers that only holders of a key can create or modify.
     std::string seal(std::string_view purpose, std::string_view data) const;
     std::optional<std::string> unseal(std::string_view purpose, std::string_view text) const;
 
--- a/include/jaytrack/Support/log.h
+++ b/include/jaytrack/Support/log.h
@@ -12,7 +12,7 @@
 
 enum class Severity { Info, Warning, Error };
 
-// One key and its value, already in text.
+// A key and its value, already formatted as text.
 struct LogField
 {
     LogField(std::string_view fieldKey, std::string_view text)
@@ -35,13 +35,14 @@
     std::string value;
 };
 
-// Sends log lines to standard output, from a thread of its own and without glog's prefix. Call
-// once, from main; before it, lines go where glog sends them. Lines beyond half a megabyte that
-// wait to be written are dropped and counted, so that no request ever waits for its log.
+// Sends log lines to standard output, from a separate thread and without glog's prefix. Call it
+// once, from main; until then, lines go to glog's default destination. When half a megabyte of
+// lines waits to be written, further lines are dropped and counted, so that no request ever waits
+// for the log.
 void initialiseLog(const char *program);
 
-// Writes one event. Values with blanks, quotes or control characters are quoted, so that a line
-// stays a line whatever a caller sent. Secrets must never be passed.
+// Writes one event. Values with blanks, quotes or control characters are quoted, so that an event
+// stays on one line whatever a caller sent. Never pass secrets.
 void logEvent(Severity severity, std::string_view event, std::span<const LogField> fields);
 void logEvent(Severity severity, std::string_view event, std::initializer_list<LogField> fields);
 
--- a/include/jaytrack/Support/logallowance.h
+++ b/include/jaytrack/Support/logallowance.h
@@ -1,8 +1,7 @@
-// How many lines of one kind may be written in a span of time.
-//
-// Load that it answers: an instance that starts lists a thousand targets in one moment, or a writer
-// gone wrong spoils as many entries. Their lines fill what waits to be written, and the lines that
-// tell what the instance decides are dropped with the rest.
+// Limits the number of log lines of one kind per time span. An instance that starts lists a
+// thousand targets at once, and a faulty writer may corrupt as many store entries. Without a limit,
+// their lines fill the queue of the log, and the lines that record the decisions of the instance
+// are dropped as well.
 #ifndef JAYTRACK_SUPPORT_LOGALLOWANCE_H
 #define JAYTRACK_SUPPORT_LOGALLOWANCE_H
 
@@ -23,7 +22,7 @@
     {
     }
 
-    // Whether one more line may be written now; if not, it counts as left out.
+    // Returns whether one more line may be written now; if not, the line counts as suppressed.
     bool take()
     {
         const TimePoint now = this->clock.now();
@@ -39,10 +38,11 @@
         return true;
     }
 
-    // Whether the span allows no further line.
+    // Whether no further line is allowed in the current span.
     bool isSpent() const { return this->taken >= this->most; }
 
-    // How many lines were left out since this was last asked, once their span is over; else 0.
+    // Returns the number of lines suppressed since the last call, once their span is over; until
+    // then 0.
     std::size_t takeLeftOut()
     {
         if (this->clock.now() - this->since < this->length)
@@ -55,7 +55,7 @@
     std::size_t most;
     Duration length;
     TimePoint since;
-    std::size_t taken = 0; // in the span that runs
+    std::size_t taken = 0; // in the current span
     std::size_t leftOut = 0;
 };
 
--- a/include/jaytrack/Support/metrics.h
+++ b/include/jaytrack/Support/metrics.h
@@ -18,18 +18,19 @@
     Metrics(const Metrics &) = delete;
     Metrics &operator=(const Metrics &) = delete;
 
-    // Adds to a counter. The name is a whole Prometheus series, labels included.
+    // Adds to a counter. The name is a complete Prometheus series, labels included.
     void count(std::string_view series, std::uint64_t by = 1);
 
     // Sets a gauge.
     void gauge(std::string_view series, double value);
 
-    // Adds one sample, in seconds, to a summary with its median, 95th and 99th percentile.
+    // Adds one sample, in seconds, to a summary that reports the median, the 95th and the 99th
+    // percentile.
     void observe(std::string_view series, double seconds);
 
     std::uint64_t counterValue(std::string_view series) const;
 
-    // The text that /metrics answers with.
+    // Returns the response text of /metrics.
     std::string render() const;
 
 private:
--- a/include/jaytrack/Support/result.h
+++ b/include/jaytrack/Support/result.h
@@ -1,5 +1,5 @@
-// The numbered result codes that every answer, error and log line of jaytrack carries, and the
-// three outcomes that a caller can be told.
+// The numbered result codes in every response, error and log line of jaytrack, and the three
+// outcomes that are reported to callers.
 #ifndef JAYTRACK_SUPPORT_RESULT_H
 #define JAYTRACK_SUPPORT_RESULT_H
 
@@ -11,8 +11,8 @@
 
 namespace jaytrack {
 
-// What a caller may conclude about its request. NotRun is a promise that no target ran any part of
-// it; whenever that cannot be shown, the outcome is Unknown.
+// What a caller may conclude about its request. NotRun guarantees that no target ran any part of
+// it; if that cannot be shown, the outcome is Unknown.
 enum class Outcome { Complete, NotRun, Unknown };
 
 // Numbers are stable and never reused; docs/RESULTS.md lists them.
@@ -85,10 +85,10 @@
 // The row for a code; every code has one.
 const ResultCodeInfo &describe(ResultCode code);
 
-// The word for an outcome as it stands in the Jaytrack-Outcome header.
+// The name of an outcome as written in the Jaytrack-Outcome header.
 std::string_view outcomeName(Outcome outcome);
 
-// A failure: its number and the particulars that help whoever reads it.
+// A failure: its result code and details for diagnosis.
 struct Error
 {
     ResultCode code = ResultCode::Ok;
--- a/include/jaytrack/Support/snapshot.h
+++ b/include/jaytrack/Support/snapshot.h
@@ -1,4 +1,5 @@
-// A value that many threads read and few replace, by read-copy-update (liburcu).
+// A value that is read by many threads and rarely replaced, implemented by read-copy-update
+// (liburcu).
 #ifndef JAYTRACK_SUPPORT_SNAPSHOT_H
 #define JAYTRACK_SUPPORT_SNAPSHOT_H
 
@@ -9,7 +10,7 @@
 
 namespace rcu {
 
-// Thin wrappers, so that liburcu's macros stay out of headers.
+// Thin wrappers that keep the macros of liburcu out of headers.
 void readLock();
 void readUnlock();
 void waitForReaders();
@@ -18,9 +19,9 @@
 
 } // namespace rcu
 
-// Holds the current value. A reader takes a counted reference inside a read-side section, which
-// costs no lock, and may keep it for as long as its request lasts: that is how one request stays
-// under one revision while newer ones come into force.
+// Holds the current value. A reader takes a counted reference inside a read-side section, without a
+// lock, and may keep it for the duration of its request. A request thus uses one revision
+// throughout, even if newer ones take effect meanwhile.
 template <typename T>
 class Snapshot
 {
@@ -30,7 +31,7 @@
     Snapshot(const Snapshot &) = delete;
     Snapshot &operator=(const Snapshot &) = delete;
 
-    // The current value; null if none was stored.
+    // Returns the current value; null if none was stored.
     std::shared_ptr<const T> get() const
     {
         rcu::readLock();
--- a/include/jaytrack/Support/tomlreader.h
+++ b/include/jaytrack/Support/tomlreader.h
@@ -1,5 +1,5 @@
-// Checked reading of TOML files: every problem in a file is found in one pass, each with its line,
-// key and result code.
+// Reads TOML files with validation. Finds every problem of a file in one pass and reports each with
+// its line, key and result code.
 #ifndef JAYTRACK_SUPPORT_TOMLREADER_H
 #define JAYTRACK_SUPPORT_TOMLREADER_H
 
@@ -14,7 +14,7 @@
 
 namespace jaytrack {
 
-// One fault in a file that a person wrote.
+// A fault in a file written by an operator.
 struct Problem
 {
     ResultCode code = ResultCode::Ok;
@@ -23,13 +23,14 @@
     std::string key;
     std::string detail;
 
-    // One line for a terminal: file, line, number and name of the code, key and particulars.
+    // Formats the problem as one line for a terminal: file, line, number and name of the code, key
+    // and details.
     std::string text() const;
 };
 
 using Problems = std::vector<Problem>;
 
-// An integer's bounds, both allowed.
+// The inclusive bounds of an integer.
 struct IntegerRange
 {
     std::int64_t least;
@@ -52,16 +53,16 @@
     std::vector<std::string> texts(std::string_view key);
     bool has(std::string_view key) const;
 
-    // A table below this one; empty if the key is absent.
+    // Returns a nested table; empty if the key is absent.
     TomlTable table(std::string_view key);
 
-    // An array of tables; empty if the key is absent.
+    // Returns an array of tables; empty if the key is absent.
     std::vector<TomlTable> tables(std::string_view key);
 
-    // Adds a problem at a key of this table.
+    // Adds a problem for a key of this table.
     void report(ResultCode code, std::string_view key, std::string detail);
 
-    // Reports every key that no accessor asked for.
+    // Reports every key that no accessor has read.
     void finish();
 
 private:
--- a/include/jaytrack/Wire/codec.h
+++ b/include/jaytrack/Wire/codec.h
@@ -1,4 +1,4 @@
-// Encodes the Thrift structures of idl/peer.thrift in Thrift's compact protocol.
+// Encodes and decodes the Thrift structures of idl/peer.thrift in Thrift's compact protocol.
 #ifndef JAYTRACK_WIRE_CODEC_H
 #define JAYTRACK_WIRE_CODEC_H
 
@@ -22,8 +22,8 @@
     return buffer->getBufferAsString();
 }
 
-// Nothing if the bytes are not such a message. Whatever arrives from outside comes through here,
-// so any exception of the library means malformed input, never a crash.
+// Returns nothing if the bytes are not a valid message. All input from other processes is decoded
+// here, so every exception of the library is treated as malformed input rather than as a crash.
 template <typename Message>
 std::optional<Message> decodeMessage(std::string_view bytes)
 {
--- a/lib/Support/log.cpp
+++ b/lib/Support/log.cpp
@@ -26,8 +26,8 @@
     return false;
 }
 
-// A line break inside a value would let a caller forge a second event, so control characters
-// become question marks.
+// A line break inside a value would let a caller forge a second event, so control characters are
+// replaced by question marks.
 void appendValue(std::string &line, std::string_view value)
 {
     if (!needsQuotes(value)) {
@@ -43,13 +43,13 @@
     line += '"';
 }
 
-// Writes lines to standard output from a thread of its own. A pipe that nobody reads would
-// otherwise block the request whose line is being written; here its lines are dropped and counted
+// Writes lines to standard output from a separate thread. Otherwise a pipe without a reader would
+// block the request whose line is being written; with the thread, lines are dropped and counted
 // instead.
 class LineWriter final : public google::LogSink
 {
 public:
-    // A few thousand lines: some seconds of a busy instance.
+    // Holds a few thousand lines, which is some seconds of output of a busy instance.
     static constexpr std::size_t mostPending = 512U << 10U;
 
     LineWriter()
@@ -111,7 +111,7 @@
         while (!text.empty()) {
             const ssize_t written = ::write(STDOUT_FILENO, text.data(), text.size());
             if (written < 0 && errno != EINTR)
-                return; // nobody can be told that the log itself is broken
+                return; // a failure of the log itself cannot be reported
             text.remove_prefix(written < 0 ? 0 : static_cast<std::size_t>(written));
         }
     }
--- a/lib/Support/snapshot.cpp
+++ b/lib/Support/snapshot.cpp
@@ -3,8 +3,8 @@
 #include <urcu/urcu-memb.h>
 
 #if defined(__SANITIZE_THREAD__)
-// The thread sanitizer does not see the order that liburcu keeps with the membarrier system call,
-// so the same order is told to it by hand.
+// The thread sanitizer does not recognise the ordering that liburcu enforces with the membarrier
+// system call, so the same ordering is annotated explicitly.
 extern "C" void __tsan_acquire(void *address);
 extern "C" void __tsan_release(void *address);
 #    define JAYTRACK_TSAN_ACQUIRE(address) __tsan_acquire(address)
@@ -18,9 +18,10 @@
 
 namespace {
 
-char readersDone; // only its address matters
+char readersDone; // only its address is used
 
-// liburcu must know each reading thread before its first section and until its end.
+// liburcu requires each reading thread to be registered from before its first read-side section
+// until the thread ends.
 struct Registration
 {
     Registration() { urcu_memb_register_thread(); }
--- a/lib/Support/tomlreader.cpp
+++ b/lib/Support/tomlreader.cpp
@@ -7,7 +7,7 @@
 
 namespace jaytrack {
 
-// What all tables of one file share.
+// State shared by all tables of one file.
 struct TomlTable::Shared
 {
     std::string file;
@@ -17,7 +17,7 @@
 
 struct TomlTable::Node
 {
-    const toml::table *table = nullptr; // null for a table that the file does not have
+    const toml::table *table = nullptr; // null for a table that is absent from the file
     std::string path;
     std::set<std::string, std::less<>> known;
 
@@ -150,7 +150,7 @@
         return fallback;
     }
     const double value = found->value_or(fallback);
-    // Written so that a NaN, which compares false with everything, is out of range as well.
+    // This form of the condition also rejects NaN, which compares false with everything.
     if (!(value >= least && value <= most)) {
         this->report(ResultCode::SettingsOutOfRange, key,
                      std::to_string(value) + " is not within " + std::to_string(least) + " to " +
--- a/unittests/Support/compressiontest.cpp
+++ b/unittests/Support/compressiontest.cpp
@@ -1,4 +1,4 @@
-// Values that are compressed between instances, and what strays make of them.
+// Tests compression of the values passed between instances, including malformed input.
 #include "jaytrack/Support/compression.h"
 
 #include <criterion/criterion.h>
@@ -13,7 +13,8 @@
     }
 }
 
-// A datagram that claims to hold gigabytes, or is cut, must cost nothing but itself.
+// A datagram that is truncated or claims to hold gigabytes must be rejected without allocating the
+// claimed size.
 Test(compression, falseClaimsAreRefused)
 {
     const std::string plain(5000, 'v');
--- a/unittests/Support/logallowancetest.cpp
+++ b/unittests/Support/logallowancetest.cpp
@@ -1,4 +1,4 @@
-// How many lines of one kind are written.
+// Tests the limit on log lines of one kind.
 #include "jaytrack/Support/logallowance.h"
 
 #include <criterion/criterion.h>
@@ -6,8 +6,8 @@
 using namespace jaytrack;
 using namespace std::chrono_literals;
 
-// Guards against a flood of lines pushing others out of the log, and against nobody being told that
-// lines were left out.
+// Guards against a flood of lines displacing others from the log, and against lines being
+// suppressed without a report.
 Test(logAllowance, leavesOutWhatIsTooMuchAndCountsIt)
 {
     ManualClock clock;
--- a/unittests/Support/resulttest.cpp
+++ b/unittests/Support/resulttest.cpp
@@ -22,7 +22,7 @@
     }
 }
 
-// The table in the docs is the table in the code.
+// The table in docs/RESULTS.md must match the table in the code.
 Test(result, docsListEveryCode)
 {
     std::ifstream file(std::string(JAYTRACK_DOCS) + "/RESULTS.md");
