--- a/include/jaytrack/Config/documentstore.h
+++ b/include/jaytrack/Config/documentstore.h
@@ -33,7 +33,7 @@
     OfferVerdict offer(std::string_view bytes, std::uint64_t revision, std::string_view source);
 
     // Returns the current document; null before the first one is accepted.
-    std::shared_ptr<const Document> current() const { return this->inForce.get(); }
+    std::shared_ptr<const Document> current() const { return this->currentDocument.get(); }
 
     std::uint64_t revision() const;
 
@@ -46,11 +46,11 @@
 
 private:
     // Returns the verdict for a document of this revision, assuming that it is well-formed.
-    OfferVerdict judge(std::uint64_t revision) const;
+    OfferVerdict classifyRevision(std::uint64_t revision) const;
 
     std::mutex offers;        // serialises changes of the current document
     mutable std::mutex mutex; // guards the fields below
-    Snapshot<Document> inForce;
+    Snapshot<Document> currentDocument;
     std::string currentBytes;
     std::uint64_t currentRevision = 0;
     Watcher onChange;
--- a/include/jaytrack/Config/settings.h
+++ b/include/jaytrack/Config/settings.h
@@ -29,8 +29,7 @@
     std::size_t callerThreads = 2;
 
     Listener peers;
-    std::vector<std::string>
-            peerKeys; // the first key signs and all verify, so that keys can be rotated
+    std::vector<std::string> peerKeys;  // the first signs, all verify, to allow key rotation
     std::vector<std::string> peerSeeds; // peer addresses known before the instance list is read
 
     Listener operators; // port 0 and an empty address mean that there is no listener
@@ -47,8 +46,7 @@
     std::size_t streamBufferBytes = 16U << 10U;
     std::size_t ledgerBytes = 64U << 20U;
     std::chrono::milliseconds abandonGrace{30'000};
-    std::chrono::milliseconds deliveryGrace{
-            60'000}; // the time that the server allows for one write
+    std::chrono::milliseconds deliveryGrace{60'000}; // time that the server allows one write
     std::chrono::milliseconds pauseLimit{2'000};
     std::chrono::milliseconds readyDelay{1'500};
 };
--- a/include/jaytrack/Net/callerconnection.h
+++ b/include/jaytrack/Net/callerconnection.h
@@ -117,7 +117,7 @@
     void onRead(const asio::error_code &failure, std::size_t bytes);
     void consume();
     void refuse(int status, std::string_view reason);
-    void expectWithin(std::chrono::milliseconds bound);
+    void startTimeout(std::chrono::milliseconds bound);
     void onTimeout();
     void send(std::string_view text);
     void flush();
@@ -192,7 +192,7 @@
     const Clock &clock;
     CallerHandler &handler;
     std::vector<std::weak_ptr<CallerConnection>> connections;
-    std::size_t sweepAt = 64;
+    std::size_t cleanupThreshold = 64;
 };
 
 } // namespace jaytrack
--- a/include/jaytrack/Net/httpparser.h
+++ b/include/jaytrack/Net/httpparser.h
@@ -21,8 +21,7 @@
     int status = 0;     // of a response
     std::vector<HttpHeader> headers;
     bool keepAlive = false; // the sender keeps the connection open for further messages
-    bool framed =
-            false; // a length or chunks mark the end of the body, not the end of the connection
+    bool framed = false;    // the body ends by a length or chunks, not with the connection
 
     std::string_view header(std::string_view name) const { return findHeader(this->headers, name); }
     std::string_view path() const
--- a/include/jaytrack/Net/targetcall.h
+++ b/include/jaytrack/Net/targetcall.h
@@ -83,7 +83,7 @@
     std::string outgoing;
     std::array<char, 4096> incoming{};
     bool sent = false;
-    bool over = false;
+    bool ended = false;
     bool paused = false;
     bool reading = false;
     bool interim = false; // the response being read is a 1xx, which another one follows
--- a/include/jaytrack/Support/logallowance.h
+++ b/include/jaytrack/Support/logallowance.h
@@ -17,8 +17,8 @@
 public:
     LogAllowance(const Clock &time, std::size_t linesInSpan, Duration spanLength)
         : clock(time)
-        , most(linesInSpan)
-        , length(spanLength)
+        , maxLines(linesInSpan)
+        , spanDuration(spanLength)
     {
     }
 
@@ -26,37 +26,37 @@
     bool take()
     {
         const TimePoint now = this->clock.now();
-        if (now - this->since >= this->length) {
-            this->since = now;
-            this->taken = 0;
+        if (now - this->spanStart >= this->spanDuration) {
+            this->spanStart = now;
+            this->writtenLines = 0;
         }
-        if (this->taken >= this->most) {
-            ++this->leftOut;
+        if (this->writtenLines >= this->maxLines) {
+            ++this->suppressedLines;
             return false;
         }
-        ++this->taken;
+        ++this->writtenLines;
         return true;
     }
 
     // Whether no further line is allowed in the current span.
-    bool isSpent() const { return this->taken >= this->most; }
+    bool isSpent() const { return this->writtenLines >= this->maxLines; }
 
     // Returns the number of lines suppressed since the last call, once their span is over; until
     // then 0.
     std::size_t takeLeftOut()
     {
-        if (this->clock.now() - this->since < this->length)
+        if (this->clock.now() - this->spanStart < this->spanDuration)
             return 0;
-        return std::exchange(this->leftOut, 0);
+        return std::exchange(this->suppressedLines, 0);
     }
 
 private:
     const Clock &clock;
-    std::size_t most;
-    Duration length;
-    TimePoint since;
-    std::size_t taken = 0; // in the current span
-    std::size_t leftOut = 0;
+    std::size_t maxLines;
+    Duration spanDuration;
+    TimePoint spanStart;
+    std::size_t writtenLines = 0; // in the current span
+    std::size_t suppressedLines = 0;
 };
 
 } // namespace jaytrack
--- a/lib/Config/documentstore.cpp
+++ b/lib/Config/documentstore.cpp
@@ -7,7 +7,7 @@
 OfferVerdict DocumentStore::offer(std::string_view bytes, std::uint64_t revision,
                                   std::string_view source)
 {
-    const OfferVerdict early = this->judge(revision);
+    const OfferVerdict early = this->classifyRevision(revision);
     if (early != OfferVerdict::Accepted)
         return early;
     const auto parsed = Document::parse(bytes, revision);
@@ -23,13 +23,13 @@
         const std::lock_guard offering(this->offers);
         // Two sources may offer documents concurrently, and the later offer may be the older
         // document.
-        const OfferVerdict late = this->judge(revision);
+        const OfferVerdict late = this->classifyRevision(revision);
         if (late != OfferVerdict::Accepted)
             return late;
         const std::lock_guard lock(this->mutex);
         this->currentRevision = revision;
         this->currentBytes = bytes;
-        this->inForce.set(parsed.value());
+        this->currentDocument.set(parsed.value());
     }
     logEvent(Severity::Info, "document_in_force",
              {{"source", source}, {"revision", static_cast<std::int64_t>(revision)}});
@@ -38,7 +38,7 @@
     return OfferVerdict::Accepted;
 }
 
-OfferVerdict DocumentStore::judge(std::uint64_t revision) const
+OfferVerdict DocumentStore::classifyRevision(std::uint64_t revision) const
 {
     const std::uint64_t held = this->revision();
     if (revision > held)
--- a/lib/Http/client.cpp
+++ b/lib/Http/client.cpp
@@ -54,7 +54,7 @@
         return static_cast<int>(code);
     }
 
-    void tellHeaders()
+    void deliverHeaders()
     {
         if (this->headersTold)
             return;
@@ -82,7 +82,7 @@
 std::size_t onCurlData(char *data, std::size_t size, std::size_t count, void *context)
 {
     auto *transfer = static_cast<Transfer *>(context);
-    transfer->tellHeaders();
+    transfer->deliverHeaders();
     if (!transfer->listener->onData({data, size * count}))
         return CURL_WRITEFUNC_PAUSE;
     return size * count;
@@ -334,7 +334,7 @@
         if (code != CURLE_OK)
             end.error = curl_easy_strerror(code);
         if (end.status != 0)
-            transfer->tellHeaders();
+            transfer->deliverHeaders();
         transfer->listener->onEnd(end);
     }
 
--- a/lib/Http/server.cpp
+++ b/lib/Http/server.cpp
@@ -20,9 +20,9 @@
 
 // Maximum time between two writes, after which RESTinio closes the connection. Streams send a
 // comment far more often than this, so only a request that its handler forgot reaches the limit.
-constexpr std::chrono::minutes handlerGap{30};
-constexpr std::chrono::seconds idleConnection{60};
-constexpr std::chrono::seconds writeBound{60};
+constexpr std::chrono::minutes maxWriteInterval{30};
+constexpr std::chrono::seconds connectionIdleTimeout{60};
+constexpr std::chrono::seconds writeTimeout{60};
 
 restinio::http_status_line_t statusLine(int status)
 {
@@ -37,7 +37,7 @@
 using AnswerCount = std::shared_ptr<std::atomic<std::size_t>>;
 
 // Increments the count until the returned pointer is released.
-std::shared_ptr<void> countIn(const AnswerCount &count)
+std::shared_ptr<void> addToCount(const AnswerCount &count)
 {
     count->fetch_add(1);
     return {count.get(), [count](void *) { count->fetch_sub(1); }};
@@ -75,7 +75,7 @@
                    const AnswerCount &unsent)
         : request(std::move(handle))
         , openWriters(std::move(open))
-        , owed(countIn(unsent))
+        , pendingCount(addToCount(unsent))
     {
         this->openWriters->add(this);
     }
@@ -94,7 +94,7 @@
         for (const HttpHeader &header : headers)
             response.append_header(header.name, header.value);
         response.set_body(std::move(body));
-        response.done(this->onceSent());
+        response.done(this->sentCallback());
         this->request.reset();
     }
 
@@ -131,7 +131,7 @@
         if (this->detached)
             return;
         assert(this->stream && "finish() comes after begin()");
-        this->stream->done(this->onceSent());
+        this->stream->done(this->sentCallback());
         this->stream.reset();
     }
 
@@ -141,16 +141,16 @@
         this->detached = true;
         this->stream.reset();
         this->request.reset();
-        this->owed.reset();
+        this->pendingCount.reset();
     }
 
 private:
     // A response passed to RESTinio may wait for its caller for a long time. If the server stopped
     // as soon as it was passed on, the response would be truncated. RESTinio destroys this callback
     // once the last byte is sent or the connection is lost.
-    restinio::write_status_cb_t onceSent()
+    restinio::write_status_cb_t sentCallback()
     {
-        return [kept = std::move(this->owed)](const asio::error_code &) {};
+        return [kept = std::move(this->pendingCount)](const asio::error_code &) {};
     }
 
     std::mutex mutex;
@@ -158,7 +158,7 @@
     restinio::request_handle_t request;
     std::optional<StreamBuilder> stream;
     std::shared_ptr<OpenWriters> openWriters;
-    std::shared_ptr<void> owed; // keeps this response counted until it is sent
+    std::shared_ptr<void> pendingCount; // keeps this response counted until it is sent
 };
 
 void OpenWriters::detachAll()
@@ -243,9 +243,9 @@
         restinio::server_settings_t<Traits> made;
         made.address(options.address)
                 .port(options.port)
-                .read_next_http_message_timelimit(idleConnection)
-                .handle_request_timeout(handlerGap)
-                .write_http_response_timelimit(writeBound)
+                .read_next_http_message_timelimit(connectionIdleTimeout)
+                .handle_request_timeout(maxWriteInterval)
+                .write_http_response_timelimit(writeTimeout)
                 .incoming_http_msg_limits(restinio::incoming_http_msg_limits_t{}
                                                   .max_url_size(options.maxHeaderBytes)
                                                   .max_field_name_size(options.maxHeaderBytes)
--- a/lib/Net/callerconnection.cpp
+++ b/lib/Net/callerconnection.cpp
@@ -14,17 +14,17 @@
 // Limit on the bytes of a following request that are buffered while one is served. The connection
 // keeps reading in order to detect that the caller disconnected; beyond this limit, the
 // disconnection is detected only when the response is written.
-constexpr std::size_t mostUnread = 64U << 10U;
+constexpr std::size_t maxUnparsedBytes = 64U << 10U;
 
 // Time allowed for a body after its head; equals the time-out that callers are specified to use
 // themselves.
 constexpr std::chrono::seconds bodyTimeout{10};
 
 // Time that the peer has to read the last response before the connection is closed.
-constexpr std::chrono::seconds lingerTime{1};
+constexpr std::chrono::seconds lingerTimeout{1};
 
 // Delay after a failed accept, which means that the process has run out of file descriptors.
-constexpr std::chrono::milliseconds acceptPause{20};
+constexpr std::chrono::milliseconds acceptRetryDelay{20};
 
 constexpr int listenBacklog = 1024;
 constexpr int requestTimeoutStatus = 408;
@@ -86,13 +86,13 @@
 void CallerConnection::start()
 {
     prepareSocket(this->socket);
-    this->expectWithin(this->handler.connectionLimits().idleTimeout);
+    this->startTimeout(this->handler.connectionLimits().idleTimeout);
     this->read();
 }
 
 void CallerConnection::read()
 {
-    if (this->closed || this->reading || this->unread.size() >= mostUnread)
+    if (this->closed || this->reading || this->unread.size() >= maxUnparsedBytes)
         return;
     this->reading = true;
     this->socket.async_read_some(
@@ -128,7 +128,7 @@
            (this->stage == Stage::Idle || this->stage == Stage::Receiving)) {
         if (this->stage == Stage::Idle) {
             this->stage = Stage::Receiving;
-            this->expectWithin(this->handler.connectionLimits().headerTimeout);
+            this->startTimeout(this->handler.connectionLimits().headerTimeout);
         }
         const std::string bytes = std::move(this->unread);
         this->unread.clear();
@@ -154,7 +154,7 @@
         this->send("HTTP/1.1 100 Continue\r\n\r\n");
     this->request.head = std::move(head);
     this->request.body.clear();
-    this->expectWithin(bodyTimeout);
+    this->startTimeout(bodyTimeout);
 }
 
 void CallerConnection::onBody(std::string_view bytes)
@@ -191,7 +191,7 @@
     this->respond(status, {}, {});
 }
 
-void CallerConnection::expectWithin(std::chrono::milliseconds bound)
+void CallerConnection::startTimeout(std::chrono::milliseconds bound)
 {
     this->timer.expires_after(bound);
     this->timer.async_wait([weak = this->weak_from_this()](const asio::error_code &failure) {
@@ -210,7 +210,7 @@
         return this->refuse(requestTimeoutStatus, "slow_request");
     const bool rests = this->pendingBytes() == 0 && !this->hasArrived();
     if (this->stage == Stage::Idle && !rests)
-        return this->expectWithin(this->handler.connectionLimits().idleTimeout);
+        return this->startTimeout(this->handler.connectionLimits().idleTimeout);
     if (this->stage != Stage::Serving)
         this->close();
 }
@@ -288,7 +288,7 @@
     this->dropBody();
     this->closeOnceSent();
     if (!this->closed && this->pendingBytes() > 0)
-        this->expectWithin(within);
+        this->startTimeout(within);
 }
 
 void CallerConnection::completeAnswer()
@@ -298,7 +298,7 @@
     if (!this->keepAlive)
         return this->closeOnceSent();
     this->stage = Stage::Idle;
-    this->expectWithin(this->handler.connectionLimits().idleTimeout);
+    this->startTimeout(this->handler.connectionLimits().idleTimeout);
     // The next request may have arrived already. It is handled from the event loop, so that a
     // caller that pipelines many requests cannot make the stack grow.
     asio::post(this->socket.get_executor(), [self = this->shared_from_this()] {
@@ -367,7 +367,7 @@
     asio::error_code ignored; // if the shutdown fails, the connection is closed a second later
     this->socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
     this->unread.clear();
-    this->expectWithin(lingerTime);
+    this->startTimeout(lingerTimeout);
     this->read();
 }
 
@@ -435,7 +435,7 @@
                 if (failure) {
                     // Without a delay, a process out of file descriptors would spin here and starve
                     // its requests.
-                    this->pause.expires_after(acceptPause);
+                    this->pause.expires_after(acceptRetryDelay);
                     this->pause.async_wait([this](const asio::error_code &stopped) {
                         if (!stopped && this->isListening())
                             this->accept();
@@ -452,9 +452,9 @@
 {
     const auto connection =
             std::make_shared<CallerConnection>(std::move(accepted), this->clock, this->handler);
-    if (this->connections.size() >= this->sweepAt) {
+    if (this->connections.size() >= this->cleanupThreshold) {
         std::erase_if(this->connections, [](const auto &weak) { return weak.expired(); });
-        this->sweepAt = std::max<std::size_t>(64, this->connections.size() * 2);
+        this->cleanupThreshold = std::max<std::size_t>(64, this->connections.size() * 2);
     }
     this->connections.push_back(connection);
     connection->start();
@@ -480,15 +480,15 @@
 
 CallerBacklog CallerServer::backlog() const
 {
-    CallerBacklog owed;
+    CallerBacklog total;
     for (const auto &weak : this->connections) {
         const auto connection = weak.lock();
         if (!connection || !connection->isOpen())
             continue;
-        ++owed.connections;
-        owed.unsentBytes += connection->pendingBytes();
+        ++total.connections;
+        total.unsentBytes += connection->pendingBytes();
     }
-    return owed;
+    return total;
 }
 
 void CallerServer::closeIdle()
--- a/lib/Net/connectcheck.cpp
+++ b/lib/Net/connectcheck.cpp
@@ -11,10 +11,10 @@
 
 struct Check : public std::enable_shared_from_this<Check>
 {
-    Check(asio::io_context &context, std::function<void(Listening)> told)
+    Check(asio::io_context &context, std::function<void(Listening)> callback)
         : socket(context)
         , timer(context)
-        , done(std::move(told))
+        , done(std::move(callback))
     {
     }
 
--- a/lib/Net/httpparser.cpp
+++ b/lib/Net/httpparser.cpp
@@ -30,9 +30,9 @@
     bool malformed = false;
     bool noBody = false;
 
-    State(Reads reads, MessageReceiver &to, std::size_t most)
+    State(Reads reads, MessageReceiver &to, std::size_t headLimit)
         : receiver(to)
-        , maxHeadBytes(most)
+        , maxHeadBytes(headLimit)
         , requests(reads == Reads::Requests)
     {
         http_parser_init(&this->parser, this->requests ? HTTP_REQUEST : HTTP_RESPONSE);
--- a/lib/Net/message.cpp
+++ b/lib/Net/message.cpp
@@ -12,9 +12,9 @@
 
 // Limit on an accepted Retry-After; a target that asks for a longer delay counts as unavailable
 // rather than busy.
-constexpr double longestRetrySeconds = 600;
+constexpr double maxRetryAfterSeconds = 600;
 
-char lowered(char c)
+char toLower(char c)
 {
     return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c;
 }
@@ -24,7 +24,7 @@
 bool sameHeaderName(std::string_view left, std::string_view right)
 {
     return std::equal(left.begin(), left.end(), right.begin(), right.end(),
-                      [](char a, char b) { return lowered(a) == lowered(b); });
+                      [](char a, char b) { return toLower(a) == toLower(b); });
 }
 
 std::string_view findHeader(std::span<const HttpHeader> headers, std::string_view name)
@@ -43,7 +43,7 @@
     if (!number || !(seconds > 0))
         return std::nullopt;
     return std::chrono::milliseconds(
-            static_cast<std::int64_t>(std::min(seconds, longestRetrySeconds) * 1000));
+            static_cast<std::int64_t>(std::min(seconds, maxRetryAfterSeconds) * 1000));
 }
 
 std::optional<double> parseRequestRate(std::string_view value)
--- a/lib/Net/socket.cpp
+++ b/lib/Net/socket.cpp
@@ -14,10 +14,10 @@
 // sent bytes unacknowledged for as long. This is shorter than the time that callers wait for the
 // next event of a stream (7 s by specification) and longer than any stall of a lossy link between
 // data centres.
-constexpr int probeAfterSeconds = 1;
-constexpr int probeGapSeconds = 1;
-constexpr int probesUnanswered = 3;
-constexpr int unconfirmedMilliseconds = 4000;
+constexpr int probeIdleSeconds = 1;
+constexpr int probeIntervalSeconds = 1;
+constexpr int maxUnansweredProbes = 3;
+constexpr int maxUnacknowledgedMilliseconds = 4000;
 
 void setOption(int descriptor, int level, int name, int value)
 {
@@ -32,10 +32,10 @@
     const int descriptor = socket.native_handle();
     setOption(descriptor, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(descriptor, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, probeAfterSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, probeGapSeconds);
-    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, probesUnanswered);
-    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, unconfirmedMilliseconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPIDLE, probeIdleSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPINTVL, probeIntervalSeconds);
+    setOption(descriptor, IPPROTO_TCP, TCP_KEEPCNT, maxUnansweredProbes);
+    setOption(descriptor, IPPROTO_TCP, TCP_USER_TIMEOUT, maxUnacknowledgedMilliseconds);
 }
 
 Result<asio::ip::tcp::endpoint> parseEndpoint(std::string_view address)
--- a/lib/Net/targetcall.cpp
+++ b/lib/Net/targetcall.cpp
@@ -33,11 +33,11 @@
     return call;
 }
 
-TargetCall::TargetCall(asio::io_context &context, TargetRequest given,
+TargetCall::TargetCall(asio::io_context &context, TargetRequest outgoingRequest,
                        std::weak_ptr<TargetCallListener> to)
     : socket(context)
     , timer(context)
-    , request(std::move(given))
+    , request(std::move(outgoingRequest))
     , listener(std::move(to))
     , parser(HttpMessageParser::Reads::Answers, *this, maxAnswerHeadBytes)
 {
@@ -54,7 +54,7 @@
     });
     this->socket.async_connect(this->request.endpoint,
                                [self = this->shared_from_this()](const asio::error_code &failure) {
-                                   if (self->over)
+                                   if (self->ended)
                                        return;
                                    if (failure)
                                        self->end(false, "connect_failed");
@@ -85,7 +85,7 @@
 
 void TargetCall::read()
 {
-    if (this->over || this->paused || this->reading)
+    if (this->ended || this->paused || this->reading)
         return;
     this->reading = true;
     this->socket.async_read_some(
@@ -98,7 +98,7 @@
 
 void TargetCall::onRead(const asio::error_code &failure, std::size_t bytes)
 {
-    if (this->over)
+    if (this->ended)
         return;
     if (failure) {
         // Only an orderly shutdown completes a response without a length; after a reset, bytes are
@@ -109,10 +109,10 @@
         return this->end(false, orderly ? "closed_early" : "reset", true);
     }
     std::string_view rest(this->incoming.data(), bytes);
-    while (!rest.empty() && !this->over) {
+    while (!rest.empty() && !this->ended) {
         const HttpMessageParser::Fed fed = this->parser.feed(rest);
         rest.remove_prefix(std::min(fed.taken, rest.size()));
-        if (this->over)
+        if (this->ended)
             return;
         if (fed.state == ParseState::MessageEnded) {
             if (this->answered)
@@ -136,7 +136,7 @@
 
 void TargetCall::onBody(std::string_view bytes)
 {
-    if (this->over || this->interim)
+    if (this->ended || this->interim)
         return;
     if (const auto to = this->listener.lock())
         to->onAnswerBody(bytes);
@@ -149,7 +149,7 @@
 
 void TargetCall::end(bool whole, std::string_view reason, bool lostConnection)
 {
-    if (this->over)
+    if (this->ended)
         return;
     this->cancel();
     if (const auto to = this->listener.lock())
@@ -158,7 +158,7 @@
 
 void TargetCall::cancel()
 {
-    this->over = true;
+    this->ended = true;
     asio::error_code ignored; // no error of closing needs handling
     this->timer.cancel();
     this->socket.close(ignored);
--- a/lib/Support/commandline.cpp
+++ b/lib/Support/commandline.cpp
@@ -47,9 +47,9 @@
         if (command.name == wanted)
             return command.run(argc - 1, argv + 1);
     }
-    const bool asked = wanted == "--help" || wanted == "-h";
-    printCommands(asked ? std::cout : std::cerr, program, commands);
-    return asked ? ExitGood : ExitUsage;
+    const bool helpRequested = wanted == "--help" || wanted == "-h";
+    printCommands(helpRequested ? std::cout : std::cerr, program, commands);
+    return helpRequested ? ExitGood : ExitUsage;
 }
 
 } // namespace jaytrack
--- a/lib/Support/compression.cpp
+++ b/lib/Support/compression.cpp
@@ -16,9 +16,9 @@
 }
 
 std::optional<std::string> decompressed(std::string_view bytes, std::size_t plainSize,
-                                        std::size_t mostBytes)
+                                        std::size_t maxBytes)
 {
-    if (plainSize > mostBytes)
+    if (plainSize > maxBytes)
         return std::nullopt;
     std::string plain(plainSize, '\0');
     uLongf size = plain.size();
--- a/lib/Support/keyring.cpp
+++ b/lib/Support/keyring.cpp
@@ -14,8 +14,7 @@
 std::string macOf(std::string_view key, std::string_view purpose, std::string_view data)
 {
     std::string input(purpose);
-    input +=
-            '\0'; // no purpose contains it, so the boundary between purpose and data is unambiguous
+    input += '\0'; // no purpose contains it, so the end of the purpose is unambiguous
     input += data;
     return hmacSha256(key, input).substr(0, macBytes);
 }
--- a/lib/Support/log.cpp
+++ b/lib/Support/log.cpp
@@ -50,7 +50,7 @@
 {
 public:
     // Holds a few thousand lines, which is some seconds of output of a busy instance.
-    static constexpr std::size_t mostPending = 512U << 10U;
+    static constexpr std::size_t maxPendingBytes = 512U << 10U;
 
     LineWriter()
         : writer([this] { this->run(); })
@@ -75,7 +75,7 @@
     {
         {
             const std::lock_guard lock(this->mutex);
-            if (this->pending.size() + length > mostPending) {
+            if (this->pending.size() + length > maxPendingBytes) {
                 ++this->dropped;
                 return;
             }
--- a/unittests/Config/documenttest.cpp
+++ b/unittests/Config/documenttest.cpp
@@ -50,7 +50,7 @@
     ResultCode code;
 };
 
-ParameterizedTestParameters(document, refusesTheFaulty)
+ParameterizedTestParameters(document, rejectsFaultyDocument)
 {
     static BadDocument cases[] = {
             {"", ResultCode::DocumentMalformed},
@@ -74,7 +74,7 @@
 }
 
 // A faulty document is rejected and leaves the current one in effect, whatever the fault.
-ParameterizedTest(BadDocument *param, document, refusesTheFaulty)
+ParameterizedTest(BadDocument *param, document, rejectsFaultyDocument)
 {
     const auto parsed = Document::parse(param->text, 2);
     cr_assert(!parsed);
@@ -128,7 +128,7 @@
     char key[40];
 };
 
-ParameterizedTestParameters(settings, namesEachFault)
+ParameterizedTestParameters(settings, reportsEachFault)
 {
     static BadSettings cases[] = {
             {"[limits]\nunknown = 1\n", ResultCode::SettingsUnknownKey, "limits.unknown"},
@@ -141,7 +141,7 @@
     return cr_make_param_array(BadSettings, cases, std::size(cases));
 }
 
-ParameterizedTest(BadSettings *param, settings, namesEachFault)
+ParameterizedTest(BadSettings *param, settings, reportsEachFault)
 {
     const TemporaryFile file(std::string("name = \"a\"\ndata_centre = \"d\"\n"
                                          "[callers]\naddress = \"127.0.0.1\"\nport = 1\n"
@@ -156,7 +156,7 @@
 }
 
 // All faults of a file are reported in one run, so that operators need not restart once per fault.
-Test(settings, tellsAllAtOnce)
+Test(settings, reportsAllFaults)
 {
     const TemporaryFile file("name = 7\nwhat = 1\n[peers]\naddress = \"x\"\nport = 99999\n");
     Problems problems;
@@ -167,7 +167,7 @@
     cr_assert(contains(problems, ResultCode::SettingsMissing, "data_centre"));
 }
 
-Test(settings, refusesWhatIsNotToml)
+Test(settings, rejectsInvalidToml)
 {
     const TemporaryFile file("name = \n");
     Problems problems;
@@ -177,7 +177,7 @@
     cr_assert(problems[0].line == 1);
 }
 
-Test(inventory, namesFaultsAcrossBothFiles)
+Test(inventory, reportsFaultsInBothFiles)
 {
     const TemporaryFile inventory("data_centres = [\"falun\"]\n"
                                   "[[engines]]\nname = \"e\"\ndata_centre = \"mora\"\n"
@@ -194,7 +194,7 @@
     cr_assert(contains(problems, ResultCode::DocumentDanglingName, "customers[0].name"));
 }
 
-Test(inventory, examplesAreGoodAndCompileTheSameTwice)
+Test(inventory, examplesCompileReproducibly)
 {
     for (const char *name : {"weavers", "mould"}) {
         const std::string folder = std::string(JAYTRACK_EXAMPLES) + "/" + name;
--- a/unittests/Net/callerservertest.cpp
+++ b/unittests/Net/callerservertest.cpp
@@ -18,16 +18,16 @@
 const std::string request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
 
 // Time that suffices for bytes to arrive over loopback.
-constexpr milliseconds arrival{30};
+constexpr milliseconds arrivalDelay{30};
 
-class Answering final : public CallerHandler
+class FixedResponseHandler final : public CallerHandler
 {
 public:
     void onRequest(std::shared_ptr<CallerConnection> connection, CallerRequest) override
     {
         connection->respond(200, {}, this->body);
     }
-    void onUnreadable(int status, std::string_view) override { this->unreadable = status; }
+    void onUnreadable(int status, std::string_view) override { this->rejectedStatus = status; }
     ConnectionLimits connectionLimits() const override { return this->limits; }
     bool stopping() const override { return false; }
     bool reserveMemory(std::size_t) override { return true; }
@@ -35,13 +35,13 @@
 
     std::string body = "the answer";
     ConnectionLimits limits;
-    int unreadable = 0;
+    int rejectedStatus = 0;
 };
 
 // A server with one connection, and the caller's end of it.
-struct Line
+struct ServerFixture
 {
-    Line()
+    ServerFixture()
     {
         cr_assert(this->server.listen({asio::ip::make_address("127.0.0.1"), 0}).has_value());
         this->socket.connect({asio::ip::make_address("127.0.0.1"), this->server.port()});
@@ -53,7 +53,7 @@
     void write(std::string_view bytes)
     {
         asio::write(this->socket, asio::buffer(bytes));
-        std::this_thread::sleep_for(arrival);
+        std::this_thread::sleep_for(arrivalDelay);
     }
 
     // Runs the event loop and reads block by block with a pause in between, until the connection
@@ -61,21 +61,21 @@
     std::string readFor(milliseconds time, milliseconds pause = milliseconds(0))
     {
         const auto end = std::chrono::steady_clock::now() + time;
-        std::string seen;
+        std::string received;
         std::array<char, 65536> buffer{};
         asio::error_code failure;
         this->socket.non_blocking(true);
         while (failure != asio::error::eof && std::chrono::steady_clock::now() < end) {
             this->loop.run_for(milliseconds(2));
             const std::size_t bytes = this->socket.read_some(asio::buffer(buffer), failure);
-            seen.append(buffer.data(), bytes);
+            received.append(buffer.data(), bytes);
             std::this_thread::sleep_for(pause);
         }
-        return seen;
+        return received;
     }
 
     SystemClock clock;
-    Answering handler;
+    FixedResponseHandler handler;
     asio::io_context loop;
     CallerServer server{loop, clock, handler};
     asio::io_context callerLoop;
@@ -89,48 +89,48 @@
 // waiting unread.
 Test(callerServer, connectionWithAnArrivedRequestIsNotIdle)
 {
-    Line line;
-    line.write(request);
-    line.server.closeIdle();
-    const std::string seen = line.readFor(milliseconds(200));
-    cr_assert(seen.ends_with("the answer"), "%s", seen.c_str());
+    ServerFixture fixture;
+    fixture.write(request);
+    fixture.server.closeIdle();
+    const std::string received = fixture.readFor(milliseconds(200));
+    cr_assert(received.ends_with("the answer"), "%s", received.c_str());
 }
 
 Test(callerServer, idleConnectionIsClosed)
 {
-    Line line;
-    line.server.closeIdle();
-    cr_assert_eq(line.server.backlog().connections, 0);
+    ServerFixture fixture;
+    fixture.server.closeIdle();
+    cr_assert_eq(fixture.server.backlog().connections, 0);
 }
 
 // A caller on a slow link lost half of a large response on a kept-alive connection. The idle
 // time-out was counted from the moment at which the response was queued, so it expired while the
 // response was still being sent.
-Test(callerServer, answerThatIsLeavingIsNotIdle)
+Test(callerServer, connectionSendingResponseIsNotIdle)
 {
-    Line line;
-    line.handler.limits.idleTimeout = milliseconds(200);
-    line.handler.body.assign(24U << 20U, 'x');
-    line.write(request);
-    const std::string seen = line.readFor(milliseconds(5000), milliseconds(1));
-    cr_assert(seen.size() > line.handler.body.size(), "%zu bytes", seen.size());
+    ServerFixture fixture;
+    fixture.handler.limits.idleTimeout = milliseconds(200);
+    fixture.handler.body.assign(24U << 20U, 'x');
+    fixture.write(request);
+    const std::string received = fixture.readFor(milliseconds(5000), milliseconds(1));
+    cr_assert(received.size() > fixture.handler.body.size(), "%zu bytes", received.size());
 }
 
 // A request was rejected as too slow (408) although it had just begun. The process stalled, and the
 // idle time-out expired in the same iteration of the event loop that read the first part of the
 // request.
-Test(callerServer, timeThatNoLongerCountsEndsNothing)
+Test(callerServer, expiredIdleTimerDoesNotRejectNewRequest)
 {
-    Line line;
-    line.handler.limits.idleTimeout = milliseconds(100);
-    line.write(request);
-    const std::string first = line.readFor(milliseconds(50));
+    ServerFixture fixture;
+    fixture.handler.limits.idleTimeout = milliseconds(100);
+    fixture.write(request);
+    const std::string first = fixture.readFor(milliseconds(50));
     cr_assert(first.ends_with("the answer"), "%s", first.c_str());
     std::this_thread::sleep_for(milliseconds(150));
-    line.write(request.substr(0, 10));
-    line.readFor(milliseconds(50));
-    line.write(request.substr(10));
-    const std::string second = line.readFor(milliseconds(200));
-    cr_assert_eq(line.handler.unreadable, 0);
+    fixture.write(request.substr(0, 10));
+    fixture.readFor(milliseconds(50));
+    fixture.write(request.substr(10));
+    const std::string second = fixture.readFor(milliseconds(200));
+    cr_assert_eq(fixture.handler.rejectedStatus, 0);
     cr_assert(second.ends_with("the answer"), "%s", second.c_str());
 }
--- a/unittests/Net/httpparsertest.cpp
+++ b/unittests/Net/httpparsertest.cpp
@@ -12,9 +12,9 @@
 class Collector final : public MessageReceiver
 {
 public:
-    void onHead(MessageHead given) override
+    void onHead(MessageHead received) override
     {
-        this->head = std::move(given);
+        this->head = std::move(received);
         ++this->heads;
     }
     void onBody(std::string_view bytes) override { this->body += bytes; }
@@ -93,7 +93,7 @@
 }
 
 // Bytes that follow a message belong to the next one, wherever the input is split.
-Test(httpParser, pipelinedRequestsStayApart)
+Test(httpParser, pipelinedRequestsAreSeparated)
 {
     const std::string text =
             "POST /1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n\r\n";
@@ -116,7 +116,7 @@
 
 // A response without a length is complete only if its connection ends in order; a response with a
 // length is never complete before its last byte.
-Test(httpParser, connectionEndCompletesOnlyUnframedAnswers)
+Test(httpParser, connectionEndCompletesOnlyUnframedResponses)
 {
     Collector unframed;
     HttpMessageParser first(HttpMessageParser::Reads::Answers, unframed, 1000);
--- a/unittests/Support/compressiontest.cpp
+++ b/unittests/Support/compressiontest.cpp
@@ -5,7 +5,7 @@
 
 using namespace jaytrack;
 
-Test(compression, whatWasCompressedComesBack)
+Test(compression, roundTripRestoresValue)
 {
     for (const std::size_t size : {0, 1, 600, 100000}) {
         const std::string plain(size, 'v');
@@ -15,7 +15,7 @@
 
 // A datagram that is truncated or claims to hold gigabytes must be rejected without allocating the
 // claimed size.
-Test(compression, falseClaimsAreRefused)
+Test(compression, rejectsFalseSizeClaims)
 {
     const std::string plain(5000, 'v');
     const std::string packed = compressed(plain);
--- a/unittests/Support/logallowancetest.cpp
+++ b/unittests/Support/logallowancetest.cpp
@@ -8,7 +8,7 @@
 
 // Guards against a flood of lines displacing others from the log, and against lines being
 // suppressed without a report.
-Test(logAllowance, leavesOutWhatIsTooMuchAndCountsIt)
+Test(logAllowance, suppressesAndCountsExcessLines)
 {
     ManualClock clock;
     clock.advance(1h);
