--- a/include/jaytrack/Net/callerconnection.h
+++ b/include/jaytrack/Net/callerconnection.h
@@ -63,7 +63,7 @@
 
     // Reports a request that could not be read; the status says why. The connection sends the error
     // response and closes by itself.
-    virtual void onUnreadable(int status, std::string_view reason) = 0;
+    virtual void onRejectedRequest(int status, std::string_view reason) = 0;
 
     virtual ConnectionLimits connectionLimits() const = 0;
 
--- a/include/jaytrack/Net/httpparser.h
+++ b/include/jaytrack/Net/httpparser.h
@@ -45,22 +45,22 @@
 class HttpMessageParser
 {
 public:
-    enum class Reads { Requests, Answers };
+    enum class MessageKind { Requests, Answers };
 
-    struct Fed
+    struct FeedResult
     {
-        std::size_t taken = 0;
+        std::size_t consumed = 0;
         ParseState state = ParseState::NeedsMore;
     };
 
     // Rejects heads larger than maxHeadBytes. The receiver must outlive the parser.
-    HttpMessageParser(Reads reads, MessageReceiver &receiver, std::size_t maxHeadBytes);
+    HttpMessageParser(MessageKind kind, MessageReceiver &receiver, std::size_t maxHeadBytes);
     ~HttpMessageParser();
     HttpMessageParser(const HttpMessageParser &) = delete;
     HttpMessageParser &operator=(const HttpMessageParser &) = delete;
 
     // Consumes bytes up to the end of a message; the caller keeps the bytes that follow it.
-    Fed feed(std::string_view bytes);
+    FeedResult feed(std::string_view bytes);
 
     // Handles an orderly end of the connection. Returns true if that completes a response without a
     // length.
--- a/include/jaytrack/Support/logallowance.h
+++ b/include/jaytrack/Support/logallowance.h
@@ -39,11 +39,11 @@
     }
 
     // Whether no further line is allowed in the current span.
-    bool isSpent() const { return this->writtenLines >= this->maxLines; }
+    bool isExhausted() const { return this->writtenLines >= this->maxLines; }
 
     // Returns the number of lines suppressed since the last call, once their span is over; until
     // then 0.
-    std::size_t takeLeftOut()
+    std::size_t takeSuppressedCount()
     {
         if (this->clock.now() - this->spanStart < this->spanDuration)
             return 0;
--- a/lib/Net/callerconnection.cpp
+++ b/lib/Net/callerconnection.cpp
@@ -74,7 +74,7 @@
     , timer(this->socket.get_executor())
     , clock(time)
     , handler(to)
-    , parser(HttpMessageParser::Reads::Requests, *this, to.connectionLimits().headerBytes)
+    , parser(HttpMessageParser::MessageKind::Requests, *this, to.connectionLimits().headerBytes)
 {
 }
 
@@ -132,9 +132,9 @@
         }
         const std::string bytes = std::move(this->unread);
         this->unread.clear();
-        const HttpMessageParser::Fed fed = this->parser.feed(bytes);
-        if (fed.taken < bytes.size())
-            this->unread.insert(0, bytes, fed.taken, std::string::npos);
+        const HttpMessageParser::FeedResult fed = this->parser.feed(bytes);
+        if (fed.consumed < bytes.size())
+            this->unread.insert(0, bytes, fed.consumed, std::string::npos);
         if (this->closed || this->stage == Stage::Closing)
             return;
         if (this->tooLarge)
@@ -184,7 +184,7 @@
 
 void CallerConnection::refuse(int status, std::string_view reason)
 {
-    this->handler.onUnreadable(status, reason);
+    this->handler.onRejectedRequest(status, reason);
     this->keepAlive = false;
     this->headOnly = false;
     this->stage = Stage::Serving;
--- a/lib/Net/httpparser.cpp
+++ b/lib/Net/httpparser.cpp
@@ -30,10 +30,10 @@
     bool malformed = false;
     bool noBody = false;
 
-    State(Reads reads, MessageReceiver &to, std::size_t headLimit)
+    State(MessageKind kind, MessageReceiver &to, std::size_t headLimit)
         : receiver(to)
         , maxHeadBytes(headLimit)
-        , requests(reads == Reads::Requests)
+        , requests(kind == MessageKind::Requests)
     {
         http_parser_init(&this->parser, this->requests ? HTTP_REQUEST : HTTP_RESPONSE);
         this->parser.data = this;
@@ -159,32 +159,32 @@
     return made;
 }
 
-HttpMessageParser::HttpMessageParser(Reads reads, MessageReceiver &receiver,
+HttpMessageParser::HttpMessageParser(MessageKind kind, MessageReceiver &receiver,
                                      std::size_t maxHeadBytes)
-    : state(std::make_unique<State>(reads, receiver, maxHeadBytes))
+    : state(std::make_unique<State>(kind, receiver, maxHeadBytes))
 {
 }
 
 HttpMessageParser::~HttpMessageParser() = default;
 
-HttpMessageParser::Fed HttpMessageParser::feed(std::string_view bytes)
+HttpMessageParser::FeedResult HttpMessageParser::feed(std::string_view bytes)
 {
     State &now = *this->state;
     now.ended = false;
     // http_parser interprets empty input as the end of the connection; finish() handles that case.
     if (bytes.empty())
         return {};
-    const std::size_t taken =
+    const std::size_t consumed =
             http_parser_execute(&now.parser, &State::settings(), bytes.data(), bytes.size());
     if (now.ended) {
         http_parser_pause(&now.parser, 0);
-        return {taken, ParseState::MessageEnded};
+        return {consumed, ParseState::MessageEnded};
     }
     if (now.tooLarge)
-        return {taken, ParseState::HeadTooLarge};
-    if (now.malformed || HTTP_PARSER_ERRNO(&now.parser) != HPE_OK || taken != bytes.size())
-        return {taken, ParseState::Malformed};
-    return {taken, ParseState::NeedsMore};
+        return {consumed, ParseState::HeadTooLarge};
+    if (now.malformed || HTTP_PARSER_ERRNO(&now.parser) != HPE_OK || consumed != bytes.size())
+        return {consumed, ParseState::Malformed};
+    return {consumed, ParseState::NeedsMore};
 }
 
 bool HttpMessageParser::finish()
--- a/lib/Net/targetcall.cpp
+++ b/lib/Net/targetcall.cpp
@@ -39,7 +39,7 @@
     , timer(context)
     , request(std::move(outgoingRequest))
     , listener(std::move(to))
-    , parser(HttpMessageParser::Reads::Answers, *this, maxAnswerHeadBytes)
+    , parser(HttpMessageParser::MessageKind::Answers, *this, maxAnswerHeadBytes)
 {
     if (this->request.method == "HEAD")
         this->parser.expectNoBody();
@@ -110,8 +110,8 @@
     }
     std::string_view rest(this->incoming.data(), bytes);
     while (!rest.empty() && !this->ended) {
-        const HttpMessageParser::Fed fed = this->parser.feed(rest);
-        rest.remove_prefix(std::min(fed.taken, rest.size()));
+        const HttpMessageParser::FeedResult fed = this->parser.feed(rest);
+        rest.remove_prefix(std::min(fed.consumed, rest.size()));
         if (this->ended)
             return;
         if (fed.state == ParseState::MessageEnded) {
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrybeliefs.cpp
@@ -32,7 +32,7 @@
 
 void EntryInstance::Parts::logListingsLeftOut()
 {
-    const std::size_t leftOut = this->listedLines.takeLeftOut();
+    const std::size_t leftOut = this->listedLines.takeSuppressedCount();
     if (leftOut == 0)
         return;
     logEvent(Severity::Info, "targets_listed",
--- a/lib/Proxy/entryparts.h
+++ b/lib/Proxy/entryparts.h
@@ -38,7 +38,7 @@
 
         void onRequest(std::shared_ptr<CallerConnection> connection,
                        CallerRequest request) override;
-        void onUnreadable(int, std::string_view) override {}
+        void onRejectedRequest(int, std::string_view) override {}
         ConnectionLimits connectionLimits() const override { return {}; }
         bool stopping() const override { return false; }
         bool reserveMemory(std::size_t) override { return true; }
@@ -65,7 +65,7 @@
     std::chrono::milliseconds delayToReturn(const AdmittedRequest &refused);
     void refuse(CallerConnection &connection, const AdmittedRequest &admitted,
                 const AdmissionInputs &inputs);
-    void onUnreadable(int status, std::string_view reason) override;
+    void onRejectedRequest(int status, std::string_view reason) override;
     ConnectionLimits connectionLimits() const override;
 
     bool stopping() const override { return this->isStopping; }
--- a/lib/Proxy/entryrequests.cpp
+++ b/lib/Proxy/entryrequests.cpp
@@ -126,7 +126,7 @@
     connection.respond(info.httpStatus, headers, {});
 }
 
-void EntryInstance::Parts::onUnreadable(int status, std::string_view reason)
+void EntryInstance::Parts::onRejectedRequest(int status, std::string_view reason)
 {
     logEvent(Severity::Info, "request_unreadable",
              {{"code", static_cast<std::int64_t>(codeOfUnreadable(status))},
--- a/lib/Proxy/storefeeds.cpp
+++ b/lib/Proxy/storefeeds.cpp
@@ -123,7 +123,7 @@
              {{"code", static_cast<std::int64_t>(ResultCode::DocumentMalformed)},
               {"key", key},
               {"detail", detail},
-              {"more", this->reports.isSpent() ? "counted_only" : "told"}});
+              {"more", this->reports.isExhausted() ? "counted_only" : "told"}});
 }
 
 std::optional<TargetEntry> TargetFeed::decode(const StoreItem &item)
--- a/unittests/Net/callerservertest.cpp
+++ b/unittests/Net/callerservertest.cpp
@@ -27,7 +27,7 @@
     {
         connection->respond(200, {}, this->body);
     }
-    void onUnreadable(int status, std::string_view) override { this->rejectedStatus = status; }
+    void onRejectedRequest(int status, std::string_view) override { this->rejectedStatus = status; }
     ConnectionLimits connectionLimits() const override { return this->limits; }
     bool stopping() const override { return false; }
     bool reserveMemory(std::size_t) override { return true; }
--- a/unittests/Net/httpparsertest.cpp
+++ b/unittests/Net/httpparsertest.cpp
@@ -85,8 +85,8 @@
 ParameterizedTest(ReadCase *param, httpParser, requests)
 {
     Collector collector;
-    HttpMessageParser parser(HttpMessageParser::Reads::Requests, collector, 100);
-    const HttpMessageParser::Fed fed = parser.feed(param->text);
+    HttpMessageParser parser(HttpMessageParser::MessageKind::Requests, collector, 100);
+    const HttpMessageParser::FeedResult fed = parser.feed(param->text);
     cr_assert_eq(static_cast<int>(fed.state), param->state, "%s: state %d", param->name,
                  static_cast<int>(fed.state));
     cr_assert_eq(collector.body, std::string(param->body), "%s", param->name);
@@ -99,13 +99,13 @@
             "POST /1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /2 HTTP/1.1\r\n\r\n";
     for (std::size_t cut = 1; cut < text.size(); ++cut) {
         Collector collector;
-        HttpMessageParser parser(HttpMessageParser::Reads::Requests, collector, 1000);
+        HttpMessageParser parser(HttpMessageParser::MessageKind::Requests, collector, 1000);
         for (std::string_view rest :
              {std::string_view(text).substr(0, cut), std::string_view(text).substr(cut)}) {
             while (!rest.empty()) {
-                const HttpMessageParser::Fed fed = parser.feed(rest);
+                const HttpMessageParser::FeedResult fed = parser.feed(rest);
                 cr_assert(fed.state != ParseState::Malformed, "cut at %zu", cut);
-                rest.remove_prefix(fed.taken);
+                rest.remove_prefix(fed.consumed);
             }
         }
         cr_assert_eq(collector.messages, 2, "cut at %zu", cut);
@@ -119,13 +119,13 @@
 Test(httpParser, connectionEndCompletesOnlyUnframedResponses)
 {
     Collector unframed;
-    HttpMessageParser first(HttpMessageParser::Reads::Answers, unframed, 1000);
+    HttpMessageParser first(HttpMessageParser::MessageKind::Answers, unframed, 1000);
     cr_assert(first.feed("HTTP/1.1 200 OK\r\n\r\nabc").state == ParseState::NeedsMore);
     cr_assert_not(unframed.head.framed);
     cr_assert(first.finish());
 
     Collector framed;
-    HttpMessageParser second(HttpMessageParser::Reads::Answers, framed, 1000);
+    HttpMessageParser second(HttpMessageParser::MessageKind::Answers, framed, 1000);
     cr_assert(second.feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc").state ==
               ParseState::NeedsMore);
     cr_assert(framed.head.framed);
--- a/unittests/Platform/platformstandin.cpp
+++ b/unittests/Platform/platformstandin.cpp
@@ -63,7 +63,7 @@
         : socket(std::move(accepted))
         , timer(this->socket.get_executor())
         , owner(of)
-        , parser(HttpMessageParser::Reads::Requests, *this, 65536)
+        , parser(HttpMessageParser::MessageKind::Requests, *this, 65536)
     {
     }
 
--- a/unittests/ProcessSoak/caller.cpp
+++ b/unittests/ProcessSoak/caller.cpp
@@ -45,7 +45,7 @@
 {
     State()
         : socket(this->context)
-        , parser(HttpMessageParser::Reads::Answers, *this, mostHeadBytes)
+        , parser(HttpMessageParser::MessageKind::Answers, *this, mostHeadBytes)
     {
     }
 
@@ -83,8 +83,8 @@
                         return;
                     }
                     const std::string_view fresh(this->buffer.data(), bytes);
-                    const HttpMessageParser::Fed fed = this->parser.feed(fresh);
-                    this->seen.extraBytes = this->seen.whole && fed.taken < bytes;
+                    const HttpMessageParser::FeedResult fed = this->parser.feed(fresh);
+                    this->seen.extraBytes = this->seen.whole && fed.consumed < bytes;
                     this->stepDone = this->seen.whole || fed.state == ParseState::Malformed;
                     if (!this->stepDone)
                         this->read();
--- a/unittests/Support/logallowancetest.cpp
+++ b/unittests/Support/logallowancetest.cpp
@@ -14,14 +14,14 @@
     clock.advance(1h);
     LogAllowance allowance(clock, 2, 1s);
     cr_expect(allowance.take());
-    cr_expect_not(allowance.isSpent());
+    cr_expect_not(allowance.isExhausted());
     cr_expect(allowance.take());
-    cr_expect(allowance.isSpent());
+    cr_expect(allowance.isExhausted());
     cr_expect_not(allowance.take());
     cr_expect_not(allowance.take());
-    cr_expect_eq(allowance.takeLeftOut(), 0, "the span still runs");
+    cr_expect_eq(allowance.takeSuppressedCount(), 0, "the span still runs");
     clock.advance(1s);
-    cr_expect_eq(allowance.takeLeftOut(), 2);
-    cr_expect_eq(allowance.takeLeftOut(), 0);
+    cr_expect_eq(allowance.takeSuppressedCount(), 2);
+    cr_expect_eq(allowance.takeSuppressedCount(), 0);
     cr_expect(allowance.take());
 }
