--- a/lib/Net/callerconnection.cpp
+++ b/lib/Net/callerconnection.cpp
@@ -16,8 +16,8 @@
 // disconnection is detected only when the response is written.
 constexpr std::size_t maxUnparsedBytes = 64U << 10U;
 
-// Time allowed for a body after its head; equals the time-out that callers are specified to use
-// themselves.
+// Time allowed for a body after its head; equals the time after which callers themselves are
+// specified to give up.
 constexpr std::chrono::seconds bodyTimeout{10};
 
 // Time that the peer has to read the last response before the connection is closed.
--- a/lib/Net/message.cpp
+++ b/lib/Net/message.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Limit on an accepted Retry-After; a target that asks for a longer delay counts as unavailable
+// Longer Retry-After values are reduced to this limit: a target that asks for more is unavailable
 // rather than busy.
 constexpr double maxRetryAfterSeconds = 600;
 
