--- a/include/jaytrack/Standin/batchengine.h
+++ b/include/jaytrack/Standin/batchengine.h
@@ -1,6 +1,6 @@
-// A model of one engine that decodes in continuous batches: its memory fills as generations grow,
-// and when it is full it pushes one aside and later computes it again. It counts in steps and
-// knows no real time, so the stand-in server and the measurements of policies share it.
+// A model of one engine with continuous batching. Its memory fills as generations grow. When the
+// memory is full, the engine preempts a sequence and recomputes it later. The model advances in
+// steps and reads no clock, so that the stand-in server and the policy benchmark can both use it.
 #ifndef JAYTRACK_STANDIN_BATCHENGINE_H
 #define JAYTRACK_STANDIN_BATCHENGINE_H
 
@@ -20,13 +20,13 @@
     std::uint32_t slots = 32;
     std::uint64_t memoryTokens = 60'000;
     double stepBaseMs = 12.0;        // one decode step with an empty batch
-    double stepPerSequenceMs = 0.25; // more for each sequence in the batch
+    double stepPerSequenceMs = 0.25; // added for each sequence in the batch
     double prefillTokensPerMs = 8.0;
-    std::uint32_t prefillPerStep = 512; // tokens of prompts taken up between two decode steps
-    std::uint64_t cacheTokens = 20'000; // memory of the prefix cache
+    std::uint32_t prefillPerStep = 512; // prompt tokens processed between two decode steps
+    std::uint64_t cacheTokens = 20'000; // capacity of the prefix cache
 };
 
-// One generation as the engine knows it.
+// One generation submitted to the engine.
 struct EngineJob
 {
     std::uint64_t id = 0;
@@ -46,7 +46,7 @@
     std::uint32_t index = 0; // of the token
 };
 
-// What one step did and how long it took.
+// The events of one step and its duration.
 struct EngineStep
 {
     Duration took{0};
@@ -64,7 +64,7 @@
     void submit(const EngineJob &job);
     void cancel(std::uint64_t id);
 
-    // Runs one step. An idle engine takes the time of an empty step.
+    // Runs one step. On an idle engine the step lasts as long as one with an empty batch.
     EngineStep step();
 
     bool idle() const { return this->running.empty() && this->waiting.empty(); }
@@ -82,7 +82,7 @@
     {
         EngineJob job;
         std::uint32_t produced = 0;
-        std::uint32_t toPrefill = 0; // prompt tokens still to take up
+        std::uint32_t toPrefill = 0; // prompt tokens not yet processed
         std::uint64_t memory = 0;
     };
 
--- a/include/jaytrack/Standin/servers.h
+++ b/include/jaytrack/Standin/servers.h
@@ -1,6 +1,6 @@
-// Small servers that stand in for the systems around jaytrack: engines, plain services, the
-// configuration service and the list of instances. They speak those systems' published protocols
-// and count what really ran.
+// Test servers that replace the systems around jaytrack: engines, plain services, the configuration
+// service and the list of instances. They implement the published protocols of those systems and
+// count the requests that they actually ran.
 #ifndef JAYTRACK_STANDIN_SERVERS_H
 #define JAYTRACK_STANDIN_SERVERS_H
 
@@ -14,7 +14,7 @@
 
 namespace jaytrack {
 
-// A running stand-in; destroying it is its sudden death.
+// A running stand-in. Destroying it simulates a crash.
 class Standin
 {
 public:
@@ -22,13 +22,13 @@
     virtual std::uint16_t port() const = 0;
 };
 
-// What goes wrong with an engine, from its settings or by POST /control while it runs.
+// The faults that an engine injects, set by its options or by POST /control while it runs.
 struct EngineFaults
 {
-    double slowFactor = 1.0;            // each step takes this many times as long
-    bool stalled = false;               // takes requests and decodes, but sends nothing
+    double slowFactor = 1.0;            // multiplies the duration of each step
+    bool stalled = false;               // accepts requests and decodes, but sends nothing
     bool duplicates = false;            // sends each frame twice
-    std::uint32_t closeAfterTokens = 0; // ends each stream early, once, after so many; 0 is never
+    std::uint32_t closeAfterTokens = 0; // closes each stream once after this many tokens; 0: never
     std::chrono::milliseconds answerLate{0};
     std::chrono::milliseconds reportLag{300};
 };
@@ -54,8 +54,8 @@
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
     std::chrono::milliseconds takes{2};
-    bool deduplicates = false;  // recognises Idempotency-Key
-    std::uint32_t dieAfter = 0; // runs this many requests, answers none of the later ones; 0 never
+    bool deduplicates = false;  // honours Idempotency-Key
+    std::uint32_t dieAfter = 0; // answers only this many requests, runs all; 0: no limit
 };
 
 Result<std::unique_ptr<Standin>> startServiceStandin(const ServiceStandinOptions &options);
@@ -64,11 +64,11 @@
 {
     std::string address = "127.0.0.1";
     std::uint16_t port = 0;
-    std::string documentFile; // published at start; empty starts with none
+    std::string documentFile; // published at start; if empty, none is
     std::chrono::milliseconds instancesLag{2000};
 };
 
-// Serves GET and PUT of /v1/document, with waiting watches, and of /v1/instances.
+// Serves GET and PUT of /v1/document, with long-polling watches, and of /v1/instances.
 Result<std::unique_ptr<Standin>> startConfigStandin(const ConfigStandinOptions &options);
 
 } // namespace jaytrack
--- a/lib/Standin/batchengine.cpp
+++ b/lib/Standin/batchengine.cpp
@@ -8,7 +8,7 @@
 {
     Sequence sequence;
     sequence.job = job;
-    // Higher priority goes before lower, equals stay in order of arrival.
+    // Higher priorities come first; jobs of equal priority stay in order of arrival.
     const auto place =
             std::find_if(this->waiting.begin(), this->waiting.end(), [&job](const Sequence &other) {
                 return other.job.priority < job.priority;
@@ -41,7 +41,8 @@
     while (!this->waiting.empty() && this->running.size() < this->spec.slots) {
         Sequence &next = this->waiting.front();
         const std::uint64_t needs = next.job.promptTokens + next.produced + 1;
-        // A sequence larger than the whole memory must still run, or it would wait for ever.
+        // Admit a sequence that is larger than the whole memory too; it would otherwise wait
+        // forever.
         if (this->used + needs > this->spec.memoryTokens && !this->running.empty())
             return;
         next.toPrefill = this->prefillNeeded(next);
@@ -64,7 +65,7 @@
     return (this->spec.prefillPerStep - budget) / this->spec.prefillTokensPerMs;
 }
 
-// Pushes aside the sequence of least priority that came last.
+// Selects the sequence to preempt: the latest one of the lowest priority.
 std::size_t BatchEngine::victim() const
 {
     std::size_t chosen = 0;
@@ -76,7 +77,7 @@
 }
 
 // Frees memory for one more token of the sequence at the index. Returns false if that sequence
-// itself was pushed aside; the index is kept right when an earlier one was.
+// itself was preempted. Adjusts the index if an earlier sequence was preempted.
 bool BatchEngine::makeRoom(std::size_t &index, EngineStep &step)
 {
     while (this->used + 1 > this->spec.memoryTokens && this->running.size() > 1) {
--- a/lib/Standin/configserver.cpp
+++ b/lib/Standin/configserver.cpp
@@ -25,8 +25,8 @@
     return value;
 }
 
-// Numbers each document that is put, answers reads at once and holds watches open until something
-// newer than what they name is there.
+// Assigns a revision to each document that is put, answers reads at once and holds watches open
+// until there is a newer revision than the one that they name.
 class ConfigStandin final : public Standin, private HttpHandler
 {
 public:
--- a/lib/Standin/engineserver.cpp
+++ b/lib/Standin/engineserver.cpp
@@ -24,7 +24,7 @@
 constexpr std::uint32_t bytesPerToken = 4;
 constexpr std::string_view generationsPath = "/v1/generations/";
 
-// One caller's connection to a generation.
+// The connection over which one caller reads a generation.
 struct Reader
 {
     std::shared_ptr<ResponseWriter> writer;
@@ -33,7 +33,7 @@
     std::atomic<bool> lost{false};
 };
 
-// A generation and all it has produced; tokens are a function of name and index.
+// A generation and its output. Each token is a function of the generation's name and the index.
 struct Generation
 {
     std::string name;
@@ -70,7 +70,8 @@
     return "id: " + std::to_string(index) + "\ndata: " + data.dump() + "\n\n";
 }
 
-// Lengths are heavy-tailed; a prompt may ask for one with a mark that only the stand-in reads.
+// Lengths are heavy-tailed. A prompt may request a length with a marker that only the stand-in
+// reads.
 std::uint32_t outputLength(const std::string &body, std::mt19937_64 &random)
 {
     static constexpr std::string_view mark = "[[length=";
@@ -226,7 +227,7 @@
         this->attachReader(generation, writer, from);
     }
 
-    // A later reader takes the stream over; the earlier one is told so.
+    // A new reader replaces the previous one, which receives a "superseded" event.
     void attachReader(const std::shared_ptr<Generation> &generation,
                       const std::shared_ptr<ResponseWriter> &writer, std::uint32_t from)
     {
@@ -273,7 +274,7 @@
         generation.reader.reset();
     }
 
-    // Sends what the reader lacks, as far as its connection takes it.
+    // Sends the tokens that the reader lacks, as far as its connection accepts them.
     void push(Generation &generation)
     {
         const std::shared_ptr<Reader> reader = generation.reader;
--- a/lib/Standin/serviceserver.cpp
+++ b/lib/Standin/serviceserver.cpp
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-// Runs each request it receives and counts by the "order" that its body names.
+// Runs each request that it receives and counts the runs by the "order" field of the body.
 class ServiceStandin final : public Standin, private HttpHandler
 {
 public:
@@ -77,7 +77,7 @@
         writer.respond(200, headers, body.dump());
     }
 
-    // Runs a request; false if the answer to it is to be lost.
+    // Runs a request. Returns false if its answer is to be dropped.
     bool run(const std::string &order, const std::string &key)
     {
         const std::lock_guard lock(this->mutex);
