--- a/include/jaytrack/Load/loadplan.h
+++ b/include/jaytrack/Load/loadplan.h
@@ -1,4 +1,4 @@
-// What the load tool is to do, read from a TOML file.
+// The plan of a load test, read from a TOML file.
 #ifndef JAYTRACK_LOAD_LOADPLAN_H
 #define JAYTRACK_LOAD_LOADPLAN_H
 
@@ -11,7 +11,7 @@
 
 namespace jaytrack {
 
-// One kind of generation that customers ask for.
+// One kind of generation that customers request.
 struct GenerationLoad
 {
     std::string model;
@@ -32,19 +32,19 @@
     std::string method = "GET";
     std::string path = "/";
     double perSecond = 1.0;
-    bool once = false; // must run at most once; taken by ticket
+    bool once = false; // must run at most once; sent with a ticket
 };
 
 struct LoadPlan
 {
     std::uint64_t seed = 1;
     std::chrono::milliseconds duration{10'000};
-    std::chrono::milliseconds patience{60'000}; // for one answer
+    std::chrono::milliseconds patience{60'000}; // time limit for one answer
     std::uint64_t mostRequests = 100'000;
-    double reconnectShare = 0;          // of streams that the caller drops and resumes
+    double reconnectShare = 0;          // share of streams that the caller drops and resumes
     std::vector<std::string> entries;   // base URLs of instances
     std::vector<std::string> keys;      // API keys of customers
-    std::vector<std::string> countUrls; // of the stand-ins, to compare with
+    std::vector<std::string> countUrls; // counters of the stand-ins, for comparison
     std::vector<GenerationLoad> generations;
     std::vector<ServiceLoad> services;
 };
--- a/include/jaytrack/Load/runner.h
+++ b/include/jaytrack/Load/runner.h
@@ -1,5 +1,5 @@
-// Runs a load plan: open-loop arrivals, every byte of every answer checked, and what callers were
-// told compared with what the stand-ins counted.
+// Runs a load plan with open-loop arrivals. Checks every byte of every answer and compares the
+// results that callers received with the counts of the stand-ins.
 #ifndef JAYTRACK_LOAD_RUNNER_H
 #define JAYTRACK_LOAD_RUNNER_H
 
@@ -26,7 +26,7 @@
     std::vector<double> values;
 };
 
-// What a run found.
+// The results of a run.
 struct LoadReport
 {
     std::uint64_t requests = 0;
@@ -37,9 +37,9 @@
     std::uint64_t resumes = 0;
     std::uint64_t preemptions = 0; // counted by the engines
     std::map<int, std::uint64_t> byCode;
-    std::uint64_t garbled = 0;       // tokens doubled, missing, out of order or of two generations
-    std::uint64_t mismatches = 0;    // callers told otherwise than the stand-ins counted
-    std::vector<std::string> faults; // the first few of either, in words
+    std::uint64_t garbled = 0;    // tokens duplicated, missing, out of order or of two generations
+    std::uint64_t mismatches = 0; // caller results that differ from the stand-ins' counts
+    std::vector<std::string> faults; // descriptions of the first few of either
     Samples firstToken;
     Samples betweenTokens;
     Samples longestStall; // of each generation
@@ -49,7 +49,8 @@
     bool good() const { return this->garbled == 0 && this->mismatches == 0; }
 };
 
-// Runs a plan to its end. Bounded by the plan's duration, patience and number of requests.
+// Runs a plan to its end. The plan's duration, its time limit for one answer and its number of
+// requests bound the run.
 LoadReport runLoad(const LoadPlan &plan);
 
 // The report as lines of name=value.
--- a/lib/Load/generationcaller.cpp
+++ b/lib/Load/generationcaller.cpp
@@ -21,8 +21,8 @@
     return std::chrono::duration<double>(to - from).count();
 }
 
-// One caller of a generation. It checks that each token comes once, in order, from one generation,
-// and comes back with its cursor when its stream breaks.
+// One caller of a generation. It checks that each token arrives once, in order and from the same
+// generation. When its stream breaks, it reconnects and resumes from its cursor.
 class GenerationCaller final : public std::enable_shared_from_this<GenerationCaller>
 {
 public:
@@ -56,7 +56,7 @@
     }
 
 private:
-    // Receives one connection's answer; only the newest connection of a caller counts.
+    // Receives the answer on one connection. Only the newest connection of a caller is considered.
     class Connection final : public HttpCallListener
     {
     public:
@@ -167,7 +167,7 @@
         return true;
     }
 
-    // Tokens look like "generation:index ".
+    // Tokens have the form "generation:index ".
     void checkText(const std::string &text)
     {
         std::size_t at = 0;
@@ -230,7 +230,7 @@
             return;
         }
         if (this->resumeUrl.empty()) {
-            // Nothing but a broken connection: the caller cannot know whether it ran.
+            // The connection broke without an answer, so the caller cannot know whether it ran.
             this->conclude(end.maySentBytes ? "unknown" : "not-run", -1);
             return;
         }
@@ -239,7 +239,7 @@
 
     void comeBack()
     {
-        ++this->turn; // whatever the old connection still says no longer counts
+        ++this->turn; // ignore what the old connection still receives
         const bool late = Time::now() - this->startedAt > this->tally.plan.patience;
         if (++this->resumes > maxResumes || late) {
             this->conclude("unknown", -2);
--- a/lib/Load/runner.cpp
+++ b/lib/Load/runner.cpp
@@ -12,7 +12,7 @@
 
 using Time = std::chrono::steady_clock;
 
-// When the next caller of one kind arrives.
+// The next arrival of a caller of one kind.
 struct Arrival
 {
     double at = 0; // seconds from the start
@@ -39,7 +39,7 @@
 
     bool empty() const { return this->kinds.empty(); }
 
-    // The earliest arrival, after which that kind's next one is drawn.
+    // Returns the earliest arrival and draws the next one of the same kind.
     Arrival next()
     {
         auto earliest =
@@ -88,7 +88,7 @@
     }
 }
 
-// Waits until every caller has ended; callers give up by themselves when their patience ends.
+// Waits until every caller has ended. Each caller gives up when its time limit expires.
 void waitForCallers(Tally &tally, const LoadPlan &plan)
 {
     const auto limit = Time::now() + plan.patience + std::chrono::seconds(10);
--- a/lib/Load/servicecaller.cpp
+++ b/lib/Load/servicecaller.cpp
@@ -15,8 +15,8 @@
 constexpr std::chrono::milliseconds tryPause{300};
 constexpr std::size_t answerBound = 1U << 20U;
 
-// One caller of a plain service. For a request that must run once it takes the ticket that it is
-// offered and repeats under that ticket, at any instance, until it has an answer.
+// One caller of a plain service. For a request that must run at most once, it obtains a ticket and
+// retries with that ticket, at any instance, until it has an answer.
 class ServiceCaller final : public std::enable_shared_from_this<ServiceCaller>
 {
 public:
@@ -60,7 +60,7 @@
             return;
         }
         const bool answered = answer.end.whole && !outcome.empty();
-        // Without a ticket nothing has run yet, so trying again is safe for this caller too.
+        // Without a ticket nothing has run yet, so a retry is safe for this caller too.
         const bool repeatable = this->ticketed || !this->load.once || !answer.end.maySentBytes;
         const bool later = answer.end.status == comeBackLater || answer.end.status == stillRunning;
         if ((!answered || later) && repeatable && this->tries < maxTries) {
--- a/lib/Load/tally.cpp
+++ b/lib/Load/tally.cpp
@@ -106,7 +106,7 @@
         const FetchedAnswer answer = fetch(this->client, call);
         const auto counts = nlohmann::json::parse(answer.body, nullptr, false);
         if (!answer.end.whole || !counts.is_object())
-            continue; // a stand-in that was killed; its counts are gone with it
+            continue; // the stand-in was killed, and its counts are lost
         addCounts(counts, "runs", runs);
         addCounts(counts, "by_user", starts);
         preemptions += counts.value("preempted", 0ULL);
