--- a/tools/jaytrack-entry/main.cpp
+++ b/tools/jaytrack-entry/main.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// The platform names the settings file in the environment.
+// The platform passes the path of the settings file in an environment variable.
 constexpr const char *settingsVariable = "JAYTRACK_BOOT";
 
 std::string settingsFile(const boost::program_options::variables_map &values)
--- a/tools/jaytrack-load/main.cpp
+++ b/tools/jaytrack-load/main.cpp
@@ -1,4 +1,4 @@
-// jaytrack-load: open-loop load that checks every byte it receives.
+// jaytrack-load: an open-loop load generator that checks every byte that it receives.
 #include "jaytrack/Load/runner.h"
 #include "jaytrack/Support/commandline.h"
 #include "jaytrack/Support/log.h"
--- a/tools/jaytrack-standin/main.cpp
+++ b/tools/jaytrack-standin/main.cpp
@@ -1,4 +1,4 @@
-// jaytrack-standin: small stand-ins for the systems around jaytrack.
+// jaytrack-standin: test servers that replace the systems around jaytrack.
 #include "jaytrack/Standin/servers.h"
 #include "jaytrack/Support/commandline.h"
 #include "jaytrack/Support/log.h"
@@ -27,7 +27,7 @@
     return options;
 }
 
-// Serves until a signal; prints the port first, so that a script can wait for it.
+// Prints the port, so that a script can wait for it, and then serves until a signal arrives.
 int serve(jaytrack::Result<std::unique_ptr<jaytrack::Standin>> started)
 {
     if (!started) {
--- a/tools/jaytrackctl/main.cpp
+++ b/tools/jaytrackctl/main.cpp
@@ -123,7 +123,8 @@
     return options;
 }
 
-// Asks one instance's operators' interface; says on standard error why it failed.
+// Queries the operators' interface of one instance. Prints the reason for a failure on standard
+// error.
 std::optional<std::string> askInstance(const std::string &address, const std::string &method,
                                        const std::string &path)
 {
@@ -144,13 +145,13 @@
     return std::nullopt;
 }
 
-// The value as it stands in a table.
+// Formats the value for a table cell.
 std::string cell(const nlohmann::json &value)
 {
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// One line for each plain value of an object, and a table of its members if it has any.
+// Prints one line for each plain value of an object, and a table of its members if it has any.
 void printTable(const nlohmann::json &object)
 {
     for (const auto &[key, value] : object.items()) {
@@ -260,11 +261,11 @@
     return list;
 }
 
-// A page that needs nothing else: the figures are embedded as JSON and drawn by the browser.
+// A self-contained page: the figures are embedded as JSON and the browser draws them.
 void printBurnPage(const std::vector<jaytrack::BurnRow> &rows)
 {
     std::string data = burnJson(rows).dump();
-    // A name with "</script>" in it would end the element that carries the data.
+    // A name that contains "</script>" would end the element that holds the data.
     for (std::size_t at = data.find('<'); at != std::string::npos; at = data.find('<', at))
         data.replace(at, 1, "\\u003c");
     std::cout << R"(<!doctype html><meta charset="utf-8"><title>Service-level burn</title>
--- a/tools/jaytrackd/main.cpp
+++ b/tools/jaytrackd/main.cpp
@@ -1,5 +1,5 @@
-// jaytrackd: one entry instance. Reads its settings, serves until told to stop, and stops
-// gracefully.
+// jaytrackd: one entry instance. Reads its settings, serves until it receives a signal and then
+// shuts down gracefully.
 #include "jaytrack/Serve/instance.h"
 #include "jaytrack/Support/commandline.h"
 #include "jaytrack/Support/log.h"
@@ -11,7 +11,7 @@
 
 namespace {
 
-// The system may run the handler on any thread, so sig_atomic_t is not enough here.
+// The system may run the handler on any thread, so sig_atomic_t does not suffice.
 std::atomic<int> stopSignals{0};
 static_assert(std::atomic<int>::is_always_lock_free, "a signal handler must not wait");
 
@@ -27,9 +27,9 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-// The first signal begins a graceful shutdown; a second one cuts what is still in service. Callers
-// are told of the cut by an answer that has to leave like any other, so the end is waited for then
-// as well.
+// The first signal begins a graceful shutdown; a second one aborts the requests still in service.
+// Their callers receive an answer that reports this and has to be sent like any other, so the
+// function waits for the end in that case too.
 void serveUntilStopped(jaytrack::Instance &instance)
 {
     static constexpr std::chrono::milliseconds pollGap{50};
