--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -1,4 +1,4 @@
-// jaytrack-bench-policy: measures the placement policy of production against the baselines.
+// jaytrack-bench-policy: compares the production placement policy with the baselines.
 #include "stage.h"
 
 #include "jaytrack/Support/commandline.h"
@@ -47,7 +47,7 @@
             }};
 }
 
-// The policy of production with one idea taken out each, to show what that idea is worth.
+// Ablations: the production policy with one mechanism disabled each, to show what it contributes.
 std::vector<NamedPolicy> variants()
 {
     FleetPolicyOptions alone;
@@ -131,8 +131,8 @@
                 spread(job, [](const Figures &o) { return o.stallP99; }), spread(job, preemptions));
 }
 
-// The production policy against the best baseline whose goodput is within two in a hundred of the
-// best baseline's.
+// Compares the production policy with the best baseline among those whose goodput is within 2% of
+// the best baseline's.
 void printRatios(const std::vector<Job> &jobs)
 {
     std::map<std::string, std::vector<const Job *>> byCase;
--- a/bench/policy/stage.cpp
+++ b/bench/policy/stage.cpp
@@ -58,7 +58,7 @@
     Figures run();
 
 private:
-    // One instance: its policy and what it is told.
+    // One instance: its policy and the updates that it receives.
     struct Node final : PolicyTransport, PlacementListener
     {
         Node(Stage &owner, std::size_t number)
@@ -266,7 +266,7 @@
         return;
     Request &request = found->second;
     if (placement.code != ResultCode::Ok) {
-        // Called from within the policy, which must not see the request go at once.
+        // Called from within the policy, which must not see the request leave during the call.
         this->schedule.after(Duration(0), [this, id] { this->giveUp(id, true); });
         return;
     }
@@ -285,7 +285,7 @@
         if (alive == this->requests.end())
             return;
         if (engine.dead) {
-            // The connection is refused; nothing has run.
+            // The connection is refused, so nothing has run.
             Request &again = alive->second;
             this->nodes[again.instance]->policy->departed(again.ask.id, Departure::Refused, 0);
             again.ask.avoid.push_back(engine.name);
@@ -414,7 +414,7 @@
         if (this->frozen)
             continue;
         EngineReport told = engine->reports.front();
-        told.alive = !engine->dead; // a connection that is refused tells at once
+        told.alive = !engine->dead; // a refused connection shows it at once
         for (const auto &node : this->nodes) {
             auto *fleet = dynamic_cast<FleetPolicy *>(node->policy.get());
             const bool hears = fleet == nullptr || fleet->isHomeOf(engine->name);
@@ -448,8 +448,9 @@
     }
 }
 
-// The instance's callers come back to the others, where their streams go on at the engines; here
-// they count as lost if nothing had begun, and as taken over silently otherwise.
+// In production the callers of a lost instance reconnect to the others, and their streams continue
+// at the engines. This model counts a request as lost if it had not begun, and otherwise as taken
+// over without interruption.
 void Stage::loseInstance(std::size_t index)
 {
     this->nodes[index]->lost = true;
@@ -468,7 +469,7 @@
     }
     for (const std::uint64_t id : unplaced)
         this->submit(id);
-    // The others notice after the time that failure detection takes.
+    // The other instances learn of it after the failure detection time.
     this->schedule.after(std::chrono::seconds(5), [this, names] {
         for (const auto &node : this->nodes) {
             if (!node->lost)
@@ -515,7 +516,7 @@
     Figures outcome;
     outcome.requests = this->measured;
     outcome.goodput = this->goodTokens / this->workload.seconds;
-    // Callers who still wait have stalled as well.
+    // Requests that are still waiting count as stalled too.
     for (const auto &[id, request] : this->requests) {
         const Duration now = std::max(request.longest, this->schedule.clock.now() - request.lastAt);
         if (request.engine < 0)
@@ -523,7 +524,8 @@
         if (!request.measured)
             continue;
         this->stalls.push_back(static_cast<float>(secondsOf(now)));
-        // Of a request that has not ended, what an engine to itself would have produced by now.
+        // For an unfinished request: what an engine that serves it alone would have produced by
+        // now.
         const double age = secondsOf(this->schedule.clock.now() - request.arrivedAt);
         this->askedTokens[request.customer] +=
                 std::min<double>(request.ask.trueLength, age / unhurriedStep);
--- a/bench/policy/stage.h
+++ b/bench/policy/stage.h
@@ -1,5 +1,5 @@
-// Runs one workload under one policy: several instances of the policy with delayed views, in front
-// of models of engines, on a virtual clock.
+// Simulates one workload under one policy: several instances of the policy, each with a delayed
+// view, in front of engine models, on a virtual clock.
 #ifndef JAYTRACK_BENCH_POLICY_STAGE_H
 #define JAYTRACK_BENCH_POLICY_STAGE_H
 
@@ -16,11 +16,11 @@
 
 namespace jaytrack::bench {
 
-// What a run measured after its warm-up.
+// The measurements of a run after its warm-up.
 struct Figures
 {
     double goodput = 0;  // tokens a second of requests that completed
-    double stallP99 = 0; // seconds without anything arriving, the worst of each request
+    double stallP99 = 0; // the longest time in seconds in which a request received nothing
     double itlP99 = 0;
     double ttftP95 = 0;
     double urgentTtftP99 = 0; // of kinds with priority
@@ -28,7 +28,7 @@
     std::uint64_t requests = 0;
     double notRun = 0;       // share of requests
     double lost = 0;         // share that ended without an answer
-    double fairMin = 0;      // worst small customer: completed over asked
+    double fairMin = 0;      // worst small customer: completed over requested
     double backlogAtEnd = 0; // requests waiting at the end, over requests a second
     double microsPerDecision = 0;
     double policyBytesPerSecond = 0; // of one instance
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -18,7 +18,7 @@
     return list;
 }
 
-constexpr double missedPrefixShare = 0.5; // of prefixes, not found in the cache
+constexpr double missedPrefixShare = 0.5; // share of prefixes not found in the cache
 
 BatchEngineSpec crowdedEngine()
 {
@@ -98,7 +98,7 @@
     const double batch = std::min(byMemory, static_cast<double>(this->engine.slots));
     const double stepSeconds =
             (this->engine.stepBaseMs + this->engine.stepPerSequenceMs * batch) / 1000;
-    // While a prompt is taken up the whole batch stands still.
+    // The whole batch pauses while a prompt is processed.
     return static_cast<double>(this->engines) / (prefillSeconds + steps * stepSeconds / batch);
 }
 
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -1,5 +1,5 @@
-// jaytrack-slopes: measures what control costs as the fleet grows, and fits a line to each cost.
-// docs/CAPACITY.md multiplies these slopes with the planned sizes.
+// jaytrack-slopes: measures the costs of the control plane as the fleet grows, and fits a line to
+// each cost. docs/CAPACITY.md multiplies these slopes by the planned sizes.
 #include "../../unittests/Soak/fleet.h"
 #include "../policy/stage.h"
 
@@ -29,7 +29,7 @@
     double y;
 };
 
-// One cost against one size.
+// The samples of one cost as a function of one size.
 class Slope
 {
 public:
@@ -88,8 +88,8 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-// What membership and the spread of configuration cost one instance, the network and clock of the
-// measurement included.
+// Measures the cost of membership and configuration propagation for one instance, including the
+// network and the clock of the benchmark itself.
 void measureMembership(std::ostream &csv)
 {
     Slope cpu("membership_cpu", "core_share_per_member");
@@ -182,7 +182,7 @@
     held.finish(csv);
 }
 
-// A transport that counts and drops.
+// A transport that counts messages and drops them.
 struct CountingTransport final : PolicyTransport
 {
     void send(std::string_view, std::string message) override { this->bytes += message.size(); }
@@ -194,8 +194,8 @@
     void onPlacement(std::uint64_t, const Placement &) override {}
 };
 
-// The time of one decision, with this instance the home of all engines, so that asking, deciding
-// and granting all fall on it.
+// Measures the time of one decision. This instance is the home of all engines, so that requesting,
+// deciding and granting all happen on it.
 double decisionSeconds(std::size_t engines, std::size_t customers)
 {
     ManualClock clock;
@@ -267,7 +267,7 @@
     tick.finish(csv);
 }
 
-// Bytes between policies against the requests that one instance places in a second.
+// Bytes between policies as a function of the requests that one instance places in a second.
 void measureGrants(std::ostream &csv)
 {
     Slope grants("grant_bytes", "bytes_per_request");
