--- a/include/jaytrack/Load/loadplan.h
+++ b/include/jaytrack/Load/loadplan.h
@@ -18,7 +18,7 @@
     double perSecond = 1.0;
     double medianTokens = 100; // lengths are log-normal
     double spread = 1.0;       // sigma of the logarithm
-    std::uint32_t mostTokens = 30'000;
+    std::uint32_t maxTokens = 30'000;
     std::uint32_t promptBytes = 400;
     std::uint32_t prefixes = 4; // distinct shared prefixes
     std::uint32_t prefixBytes = 2000;
@@ -39,8 +39,8 @@
 {
     std::uint64_t seed = 1;
     std::chrono::milliseconds duration{10'000};
-    std::chrono::milliseconds patience{60'000}; // time limit for one answer
-    std::uint64_t mostRequests = 100'000;
+    std::chrono::milliseconds answerTimeout{60'000}; // time limit for one answer
+    std::uint64_t maxRequests = 100'000;
     double reconnectShare = 0;          // share of streams that the caller drops and resumes
     std::vector<std::string> entries;   // base URLs of instances
     std::vector<std::string> keys;      // API keys of customers
--- a/lib/Load/generationcaller.cpp
+++ b/lib/Load/generationcaller.cpp
@@ -36,8 +36,8 @@
     {
         std::normal_distribution<double> normal(std::log(kind.medianTokens), kind.spread);
         const double wanted = std::exp(normal(this->random));
-        this->length = static_cast<std::uint32_t>(
-                std::min<double>(kind.mostTokens, std::max(1.0, wanted)));
+        this->length =
+                static_cast<std::uint32_t>(std::min<double>(kind.maxTokens, std::max(1.0, wanted)));
         std::bernoulli_distribution drops(shared.plan.reconnectShare);
         if (kind.stream && drops(this->random))
             this->dropAfter = 1 + this->random() % this->length;
@@ -49,7 +49,7 @@
         this->lastAt = this->startedAt;
         HttpCall call;
         call.method = "POST";
-        call.url = this->tally.entryAfter(this->number) + "/v1/chat/completions";
+        call.url = this->tally.entryFor(this->number) + "/v1/chat/completions";
         call.headers = {{"Content-Type", "application/json"}};
         call.body = this->body();
         this->send(std::move(call));
@@ -106,22 +106,23 @@
     {
         const std::string &key = this->tally.plan.keys[this->number % this->tally.plan.keys.size()];
         call.headers.push_back({"Authorization", "Bearer " + key});
-        call.totalTimeout = this->tally.plan.patience;
+        call.totalTimeout = this->tally.plan.answerTimeout;
         this->status = 0;
         this->errorBody.clear();
-        const auto listener = std::make_shared<Connection>(this->shared_from_this(), ++this->turn);
+        const auto listener =
+                std::make_shared<Connection>(this->shared_from_this(), ++this->connectionNumber);
         this->current = this->tally.client.start(std::move(call), listener);
     }
 
     void onHeaders(int connection, int got, std::span<const HttpHeader> headers)
     {
         const std::lock_guard lock(this->mutex);
-        if (connection != this->turn)
+        if (connection != this->connectionNumber)
             return;
         this->status = got;
         this->outcome = findHeader(headers, "Jaytrack-Outcome");
-        const auto told = parseIndex(findHeader(headers, "Jaytrack-Code"));
-        this->code = told ? static_cast<int>(*told) : 0;
+        const auto parsedCode = parseIndex(findHeader(headers, "Jaytrack-Code"));
+        this->code = parsedCode ? static_cast<int>(*parsedCode) : 0;
         const std::string_view url = findHeader(headers, "Jaytrack-Stream");
         if (!url.empty())
             this->resumeUrl = url;
@@ -130,7 +131,7 @@
     void onData(int connection, SseSplitter &splitter, std::string_view data)
     {
         const std::lock_guard lock(this->mutex);
-        if (connection != this->turn || this->finished)
+        if (connection != this->connectionNumber || this->finished)
             return;
         if (this->status != 200 || !this->load.stream) {
             this->errorBody += data;
@@ -159,7 +160,7 @@
         }
         const auto chunk = nlohmann::json::parse(event.data, nullptr, false);
         if (!chunk.is_object()) {
-            this->tally.garbled(this->id + " received an event that is not JSON");
+            this->tally.recordGarbled(this->id + " received an event that is not JSON");
             return true;
         }
         this->cursor = event.id;
@@ -187,18 +188,18 @@
         if (this->generation.empty())
             this->generation = name;
         if (name != this->generation)
-            this->tally.garbled(this->id + " received tokens of " + name + " after " +
-                                this->generation);
+            this->tally.recordGarbled(this->id + " received tokens of " + name + " after " +
+                                      this->generation);
         if (!index || *index != this->next)
-            this->tally.garbled(this->id + " received " + token + " where index " +
-                                std::to_string(this->next) + " was due");
+            this->tally.recordGarbled(this->id + " received " + token + " where index " +
+                                      std::to_string(this->next) + " was due");
         ++this->next;
         if (!this->load.stream)
             return;
         const double gap = secondsBetween(this->lastAt, now);
         this->longestGap = std::max(this->longestGap, gap);
         this->lastAt = now;
-        this->tally.with([&](LoadReport &report) {
+        this->tally.updateReport([&](LoadReport &report) {
             ++report.tokens;
             if (this->next == 1)
                 report.firstToken.add(secondsBetween(this->startedAt, now));
@@ -210,7 +211,7 @@
     void onEnd(int connection, const HttpCallEnd &end)
     {
         const std::lock_guard lock(this->mutex);
-        if (connection != this->turn || this->finished)
+        if (connection != this->connectionNumber || this->finished)
             return;
         if (end.whole && this->status == 200 && !this->load.stream) {
             const auto body = nlohmann::json::parse(this->errorBody, nullptr, false);
@@ -239,21 +240,21 @@
 
     void comeBack()
     {
-        ++this->turn; // ignore what the old connection still receives
-        const bool late = Time::now() - this->startedAt > this->tally.plan.patience;
+        ++this->connectionNumber; // ignore what the old connection still receives
+        const bool late = Time::now() - this->startedAt > this->tally.plan.answerTimeout;
         if (++this->resumes > maxResumes || late) {
             this->conclude("unknown", -2);
             return;
         }
-        this->tally.with([](LoadReport &report) { ++report.resumes; });
-        this->tally.later(resumePause, [self = this->shared_from_this()] { self->resume(); });
+        this->tally.updateReport([](LoadReport &report) { ++report.resumes; });
+        this->tally.runAfter(resumePause, [self = this->shared_from_this()] { self->resume(); });
     }
 
     void resume()
     {
         const std::lock_guard lock(this->mutex);
         HttpCall call;
-        call.url = this->tally.entryAfter(this->number + static_cast<std::size_t>(this->resumes)) +
+        call.url = this->tally.entryFor(this->number + static_cast<std::size_t>(this->resumes)) +
                    this->resumeUrl;
         if (!this->cursor.empty())
             call.headers.push_back({"Last-Event-ID", this->cursor});
@@ -265,12 +266,13 @@
     {
         this->finished = true;
         if (last == "complete" && this->next != this->length)
-            this->tally.garbled(this->id + " was complete with " + std::to_string(this->next) +
-                                " of " + std::to_string(this->length) + " tokens");
+            this->tally.recordGarbled(this->id + " was complete with " +
+                                      std::to_string(this->next) + " of " +
+                                      std::to_string(this->length) + " tokens");
         if (last == "complete" && this->load.stream)
-            this->tally.with(
+            this->tally.updateReport(
                     [&](LoadReport &report) { report.longestStall.add(this->longestGap); });
-        this->tally.ended(this->id, {last, lastCode, false, true});
+        this->tally.recordResult(this->id, {last, lastCode, false, true});
     }
 
     Tally &tally;
@@ -282,7 +284,7 @@
     std::uint32_t length = 1;
     std::uint64_t dropAfter = 0;
     std::uint64_t next = 0;
-    int turn = 0;
+    int connectionNumber = 0;
     int resumes = 0;
     HttpCallId current = 0;
     int status = 0;
@@ -306,7 +308,7 @@
                            std::uint64_t seed)
 {
     tally.open.fetch_add(1);
-    tally.with([](LoadReport &report) { ++report.requests; });
+    tally.updateReport([](LoadReport &report) { ++report.requests; });
     std::make_shared<GenerationCaller>(tally, load, number, seed)->start();
 }
 
--- a/lib/Load/loadplan.cpp
+++ b/lib/Load/loadplan.cpp
@@ -16,8 +16,8 @@
     load.perSecond = entry.number("per_second", 0, mostPerSecond, load.perSecond);
     load.medianTokens = entry.number("median_tokens", 1, 100'000, load.medianTokens);
     load.spread = entry.number("spread", 0, 5, load.spread);
-    load.mostTokens =
-            static_cast<std::uint32_t>(entry.integer("most_tokens", countRange, load.mostTokens));
+    load.maxTokens =
+            static_cast<std::uint32_t>(entry.integer("most_tokens", countRange, load.maxTokens));
     load.promptBytes =
             static_cast<std::uint32_t>(entry.integer("prompt_bytes", byteRange, load.promptBytes));
     load.prefixes =
@@ -52,8 +52,8 @@
     TomlTable &root = *opened;
     plan.seed = static_cast<std::uint64_t>(root.integer("seed", {0, 1LL << 62}, 1));
     plan.duration = std::chrono::milliseconds(root.integer("duration_ms", milliRange, 10'000));
-    plan.patience = std::chrono::milliseconds(root.integer("patience_ms", milliRange, 60'000));
-    plan.mostRequests =
+    plan.answerTimeout = std::chrono::milliseconds(root.integer("patience_ms", milliRange, 60'000));
+    plan.maxRequests =
             static_cast<std::uint64_t>(root.integer("most_requests", countRange, 100'000));
     plan.reconnectShare = root.number("reconnect_share", 0, 1, 0);
     plan.entries = root.texts("entries");
--- a/lib/Load/runner.cpp
+++ b/lib/Load/runner.cpp
@@ -75,7 +75,7 @@
     ArrivalSource source(plan);
     const auto start = Time::now();
     const double length = std::chrono::duration<double>(plan.duration).count();
-    for (std::uint64_t number = 1; number <= plan.mostRequests && !source.empty(); ++number) {
+    for (std::uint64_t number = 1; number <= plan.maxRequests && !source.empty(); ++number) {
         const Arrival due = source.next();
         if (due.at > length)
             return;
@@ -91,7 +91,7 @@
 // Waits until every caller has ended. Each caller gives up when its time limit expires.
 void waitForCallers(Tally &tally, const LoadPlan &plan)
 {
-    const auto limit = Time::now() + plan.patience + std::chrono::seconds(10);
+    const auto limit = Time::now() + plan.answerTimeout + std::chrono::seconds(10);
     while (tally.open.load() > 0 && Time::now() < limit)
         std::this_thread::sleep_for(std::chrono::milliseconds(20));
 }
--- a/lib/Load/servicecaller.cpp
+++ b/lib/Load/servicecaller.cpp
@@ -11,7 +11,7 @@
 constexpr int maxTries = 8;
 constexpr int redirect = 307;
 constexpr int stillRunning = 409;
-constexpr int comeBackLater = 503;
+constexpr int serviceUnavailable = 503;
 constexpr std::chrono::milliseconds tryPause{300};
 constexpr std::size_t answerBound = 1U << 20U;
 
@@ -37,12 +37,12 @@
         const std::string &key = this->tally.plan.keys[this->number % this->tally.plan.keys.size()];
         HttpCall call;
         call.method = this->load.method;
-        call.url = this->tally.entryAfter(this->number + static_cast<std::size_t>(this->tries)) +
+        call.url = this->tally.entryFor(this->number + static_cast<std::size_t>(this->tries)) +
                    this->url;
         call.headers = {{"Authorization", "Bearer " + key}, {"Content-Type", "application/json"}};
         if (this->load.method != "GET")
             call.body = nlohmann::json{{"order", this->id}}.dump();
-        call.totalTimeout = this->tally.plan.patience;
+        call.totalTimeout = this->tally.plan.answerTimeout;
         fetchLater(this->tally.client, std::move(call), answerBound,
                    [self = this->shared_from_this()](const FetchedAnswer &answer) {
                        self->onAnswer(answer);
@@ -62,9 +62,10 @@
         const bool answered = answer.end.whole && !outcome.empty();
         // Without a ticket nothing has run yet, so a retry is safe for this caller too.
         const bool repeatable = this->ticketed || !this->load.once || !answer.end.maySentBytes;
-        const bool later = answer.end.status == comeBackLater || answer.end.status == stillRunning;
+        const bool later =
+                answer.end.status == serviceUnavailable || answer.end.status == stillRunning;
         if ((!answered || later) && repeatable && this->tries < maxTries) {
-            this->tally.later(tryPause, [self = this->shared_from_this()] { self->send(); });
+            this->tally.runAfter(tryPause, [self = this->shared_from_this()] { self->send(); });
             return;
         }
         const auto code = parseIndex(findHeader(answer.headers, "Jaytrack-Code"));
@@ -77,13 +78,13 @@
         if (outcome == "complete" && this->load.method != "GET") {
             const auto body = nlohmann::json::parse(answer.body, nullptr, false);
             if (!body.is_object() || body.value("order", "") != this->id)
-                this->tally.garbled(this->id + " received another caller's answer");
+                this->tally.recordGarbled(this->id + " received another caller's answer");
         }
         if (outcome == "complete")
-            this->tally.with([&](LoadReport &report) {
+            this->tally.updateReport([&](LoadReport &report) {
                 report.serviceTime.add(std::chrono::duration<double>(took).count());
             });
-        this->tally.ended(this->id, {outcome, code, this->load.once, false});
+        this->tally.recordResult(this->id, {outcome, code, this->load.once, false});
     }
 
     Tally &tally;
@@ -101,7 +102,7 @@
 void startServiceCaller(Tally &tally, const ServiceLoad &load, std::uint64_t number)
 {
     tally.open.fetch_add(1);
-    tally.with([](LoadReport &report) { ++report.requests; });
+    tally.updateReport([](LoadReport &report) { ++report.requests; });
     std::make_shared<ServiceCaller>(tally, load, number)->send();
 }
 
--- a/lib/Load/tally.cpp
+++ b/lib/Load/tally.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t faultsKept = 20;
+constexpr std::size_t maxFaults = 20;
 
 void addCounts(const nlohmann::json &counts, const char *key,
                std::map<std::string, std::uint64_t> &sum)
@@ -34,16 +34,16 @@
     return *at;
 }
 
-void Tally::later(std::chrono::milliseconds pause, std::function<void()> step)
+void Tally::runAfter(std::chrono::milliseconds pause, std::function<void()> step)
 {
     const auto timer = std::make_shared<asio::steady_timer>(this->timers, pause);
     timer->async_wait([timer, step = std::move(step)](const asio::error_code &) { step(); });
 }
 
-void Tally::ended(const std::string &id, const Told &last)
+void Tally::recordResult(const std::string &id, const CallerResult &last)
 {
     const std::lock_guard lock(this->mutex);
-    this->told[id] = last;
+    this->results[id] = last;
     ++this->report.byCode[last.code];
     if (last.outcome == "complete")
         ++this->report.complete;
@@ -54,15 +54,15 @@
     this->open.fetch_sub(1);
 }
 
-void Tally::garbled(const std::string &what)
+void Tally::recordGarbled(const std::string &what)
 {
     const std::lock_guard lock(this->mutex);
     ++this->report.garbled;
-    if (this->report.faults.size() < faultsKept)
+    if (this->report.faults.size() < maxFaults)
         this->report.faults.push_back(what);
 }
 
-void Tally::with(const std::function<void(LoadReport &)> &change)
+void Tally::updateReport(const std::function<void(LoadReport &)> &change)
 {
     const std::lock_guard lock(this->mutex);
     change(this->report);
@@ -71,14 +71,14 @@
 void Tally::mismatch(const std::string &what)
 {
     ++this->report.mismatches;
-    if (this->report.faults.size() < faultsKept)
+    if (this->report.faults.size() < maxFaults)
         this->report.faults.push_back(what);
 }
 
 void Tally::compare(const std::map<std::string, std::uint64_t> &runs,
                     const std::map<std::string, std::uint64_t> &starts)
 {
-    for (const auto &[id, last] : this->told) {
+    for (const auto &[id, last] : this->results) {
         const auto &counted = last.generation ? starts : runs;
         const auto found = counted.find(id);
         const std::uint64_t count = found == counted.end() ? 0 : found->second;
--- a/lib/Load/tally.h
+++ b/lib/Load/tally.h
@@ -1,4 +1,4 @@
-// What all callers of one run share; private to the library.
+// The state that all callers of one run share. Private to the library.
 #ifndef JAYTRACK_LIB_LOAD_TALLY_H
 #define JAYTRACK_LIB_LOAD_TALLY_H
 
@@ -15,8 +15,8 @@
 
 namespace jaytrack {
 
-// What one request's caller was told at last.
-struct Told
+// The final result that the caller of one request received.
+struct CallerResult
 {
     std::string outcome; // complete, not-run or unknown
     int code = 0;
@@ -24,7 +24,7 @@
     bool generation = false;
 };
 
-// Collects results from all threads.
+// Collects the results of all callers. Thread-safe.
 class Tally
 {
 public:
@@ -39,20 +39,21 @@
     asio::io_context timers;
     std::atomic<std::uint64_t> open{0};
 
-    // Runs a function after a pause, on the timers' thread.
-    void later(std::chrono::milliseconds pause, std::function<void()> step);
+    // Runs a function on the timer thread after a pause.
+    void runAfter(std::chrono::milliseconds pause, std::function<void()> step);
 
-    // A base URL other than the last one where possible.
-    std::string entryAfter(std::size_t turn) const
+    // Returns the base URL for an attempt. Consecutive attempts use different entries if there are
+    // several.
+    std::string entryFor(std::size_t attempt) const
     {
-        return this->plan.entries[turn % this->plan.entries.size()];
+        return this->plan.entries[attempt % this->plan.entries.size()];
     }
 
-    void ended(const std::string &id, const Told &told);
-    void garbled(const std::string &what);
-    void with(const std::function<void(LoadReport &)> &change);
+    void recordResult(const std::string &id, const CallerResult &last);
+    void recordGarbled(const std::string &what);
+    void updateReport(const std::function<void(LoadReport &)> &change);
 
-    // Compares with the stand-ins' counts and returns the report.
+    // Compares the results with the counts of the stand-ins and returns the report.
     LoadReport conclude();
 
 private:
@@ -62,10 +63,10 @@
 
     std::mutex mutex;
     LoadReport report;
-    std::map<std::string, Told> told;
+    std::map<std::string, CallerResult> results;
 };
 
-// Starts one caller; it counts itself in and out of the tally's open callers.
+// Starts one caller. It increments the number of open callers and decrements it when it ends.
 void startGenerationCaller(Tally &tally, const GenerationLoad &load, std::uint64_t number,
                            std::uint64_t seed);
 void startServiceCaller(Tally &tally, const ServiceLoad &load, std::uint64_t number);
