--- a/lib/Standin/timerthread.h
+++ b/lib/Standin/timerthread.h
@@ -1,4 +1,4 @@
-// A thread that runs what has come due; private to the library.
+// A thread that runs timers. Private to the library.
 #ifndef JAYTRACK_LIB_STANDIN_TIMERTHREAD_H
 #define JAYTRACK_LIB_STANDIN_TIMERTHREAD_H
 
@@ -24,7 +24,7 @@
         this->thread = std::thread([this] { this->context.run(); });
     }
 
-    // What has not come due by then never does.
+    // Timers that have not expired by then never run.
     void stop()
     {
         this->context.stop();
