--- a/tools/jaytrack-entry/main.cpp
+++ b/tools/jaytrack-entry/main.cpp
@@ -31,7 +31,7 @@
     po::options_description options("options");
     options.add_options()("help,h", "print this help")(
             "settings,s", po::value<std::string>(),
-            "the settings file, TOML; else the one that JAYTRACK_BOOT names")(
+            "the settings file, TOML; default: the file that JAYTRACK_BOOT names")(
             "check", "check the settings and exit");
     po::variables_map values;
     int exitCode = jaytrack::ExitGood;
--- a/tools/jaytrack-standin/main.cpp
+++ b/tools/jaytrack-standin/main.cpp
@@ -22,7 +22,7 @@
 {
     po::options_description options("options");
     options.add_options()("help,h", "print this help")("port", po::value(&port)->default_value(0),
-                                                       "the port; 0 takes any")(
+                                                       "the port; 0 selects a free one")(
             "name", po::value(&name)->default_value("standin"), "its name in counts");
     return options;
 }
@@ -56,15 +56,15 @@
             "one decode step with an empty batch")(
             "step-sequence-ms",
             po::value(&engine.size.stepPerSequenceMs)->default_value(engine.size.stepPerSequenceMs),
-            "more for each sequence in the batch")(
+            "time added to a step for each sequence in the batch")(
             "threads", po::value(&engine.threads)->default_value(engine.threads), "server threads")(
             "report-lag-ms", po::value(&reportLagMs)->default_value(300),
-            "how old its load reports are")("ignores-fencing", po::bool_switch(&ignoresFencing),
-                                            "takes orders of any fencing number")(
+            "age of its load reports")("ignores-fencing", po::bool_switch(&ignoresFencing),
+                                       "accepts orders with any fencing number")(
             "slow", po::value(&engine.faults.slowFactor)->default_value(1.0),
-            "fault: slower by this")("close-after",
-                                     po::value(&engine.faults.closeAfterTokens)->default_value(0),
-                                     "fault: end each stream once after so many tokens")(
+            "fault: factor on the duration of each step")(
+            "close-after", po::value(&engine.faults.closeAfterTokens)->default_value(0),
+            "fault: end each stream once after this many tokens")(
             "duplicates", po::bool_switch(&engine.faults.duplicates), "fault: send frames twice")(
             "stalled", po::bool_switch(&engine.faults.stalled), "fault: send nothing");
     po::variables_map values;
@@ -84,9 +84,9 @@
     po::options_description options = commonOptions(service.port, service.name);
     options.add_options()("takes-ms", po::value(&takesMs)->default_value(2),
                           "time for each request")(
-            "deduplicates", po::bool_switch(&service.deduplicates), "recognises Idempotency-Key")(
-            "die-after", po::value(&service.dieAfter)->default_value(0),
-            "fault: answer only so many requests, run all");
+            "deduplicates", po::bool_switch(&service.deduplicates),
+            "honours Idempotency-Key")("die-after", po::value(&service.dieAfter)->default_value(0),
+                                       "fault: run all requests, answer only this many");
     po::variables_map values;
     int exitCode = jaytrack::ExitGood;
     if (!jaytrack::parseCommandLine(argc, argv, options, "jaytrack-standin service [options]",
@@ -112,7 +112,7 @@
 
 constexpr jaytrack::Command commands[] = {
         {"engine", "a model engine with continuous batches", runEngine},
-        {"service", "a plain service that counts what it ran", runService},
+        {"service", "a plain service that counts the requests it ran", runService},
         {"config", "the configuration service and the list of instances", runConfig},
         {"instances", "the same program; the list is at /v1/instances", runConfig},
 };
--- a/tools/jaytrackctl/main.cpp
+++ b/tools/jaytrackctl/main.cpp
@@ -39,7 +39,7 @@
 {
     boost::program_options::options_description options = inventoryOptions();
     options.add_options()("output,o", boost::program_options::value<std::string>(),
-                          "where the document goes; standard output if absent");
+                          "the file for the document; default: standard output");
     boost::program_options::variables_map values;
     int exitCode = jaytrack::ExitGood;
     if (!jaytrack::parseCommandLine(argc, argv, options,
--- a/tools/jaytrackd/main.cpp
+++ b/tools/jaytrackd/main.cpp
@@ -13,7 +13,7 @@
 
 // The system may run the handler on any thread, so sig_atomic_t does not suffice.
 std::atomic<int> stopSignals{0};
-static_assert(std::atomic<int>::is_always_lock_free, "a signal handler must not wait");
+static_assert(std::atomic<int>::is_always_lock_free, "a signal handler must not block");
 
 void onStopSignal(int)
 {
