--- a/bench/policy/stage.cpp
+++ b/bench/policy/stage.cpp
@@ -18,8 +18,8 @@
 constexpr Duration tickGap = std::chrono::milliseconds(20);
 constexpr Duration progressGap = std::chrono::milliseconds(250);
 constexpr Duration reportGap = std::chrono::milliseconds(250);
-constexpr std::size_t datagramOverhead = 110; // headers, name and authentication
-constexpr double unhurriedStep = 0.035;       // seconds between tokens in a batch of usual size
+constexpr std::size_t datagramOverhead = 110;    // headers, name and authentication
+constexpr double uncontendedStepSeconds = 0.035; // between tokens in a batch of usual size
 constexpr Duration reportLag = std::chrono::milliseconds(300);
 
 double quantile(std::vector<float> &values, double q)
@@ -528,7 +528,7 @@
         // now.
         const double age = secondsOf(this->schedule.clock.now() - request.arrivedAt);
         this->askedTokens[request.customer] +=
-                std::min<double>(request.ask.trueLength, age / unhurriedStep);
+                std::min<double>(request.ask.trueLength, age / uncontendedStepSeconds);
         this->doneTokens[request.customer] += request.produced;
     }
     outcome.stallP99 = quantile(this->stalls, 0.99);
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -56,8 +56,7 @@
 {
     std::normal_distribution<double> normal(std::log(kind.medianTokens), kind.sigma);
     const double length = std::exp(normal(random));
-    return static_cast<std::uint32_t>(
-            std::clamp(length, 1.0, static_cast<double>(kind.mostTokens)));
+    return static_cast<std::uint32_t>(std::clamp(length, 1.0, static_cast<double>(kind.maxTokens)));
 }
 
 std::string Workload::caseName() const
--- a/bench/policy/workload.h
+++ b/bench/policy/workload.h
@@ -18,7 +18,7 @@
     double share = 1; // of all requests
     double medianTokens = 100;
     double sigma = 1;
-    std::uint32_t mostTokens = 20'000;
+    std::uint32_t maxTokens = 20'000;
     std::uint32_t promptTokens = 200; // besides the prefix
     std::uint32_t prefixTokens = 0;
     std::uint32_t prefixes = 1;
