--- a/include/jaytrack/Standin/batchengine.h
+++ b/include/jaytrack/Standin/batchengine.h
@@ -93,10 +93,10 @@
     };
 
     void admitWaiting();
-    double prefillSome();
+    double prefillStep();
     void decode(EngineStep &step);
-    bool makeRoom(std::size_t &index, EngineStep &step);
-    std::size_t victim() const;
+    bool ensureMemory(std::size_t &index, EngineStep &step);
+    std::size_t selectVictim() const;
     void touchPrefix(const EngineJob &job);
     std::uint32_t prefillNeeded(const Sequence &sequence);
 
--- a/lib/Load/generationcaller.cpp
+++ b/lib/Load/generationcaller.cpp
@@ -60,9 +60,9 @@
     class Connection final : public HttpCallListener
     {
     public:
-        Connection(std::shared_ptr<GenerationCaller> who, int which)
-            : caller(std::move(who))
-            , connection(which)
+        Connection(std::shared_ptr<GenerationCaller> owner, int connectionId)
+            : caller(std::move(owner))
+            , connection(connectionId)
         {
         }
 
@@ -141,7 +141,7 @@
         if (this->dropAfter != 0 && this->next >= this->dropAfter) {
             this->dropAfter = 0;
             this->tally.client.cancel(this->current);
-            this->comeBack();
+            this->scheduleResume();
         }
     }
 
@@ -225,7 +225,7 @@
         if (end.whole && (this->failed || this->status != 200)) {
             const bool mayComeBack = !this->resumeUrl.empty() && this->status == 503;
             if (mayComeBack)
-                this->comeBack();
+                this->scheduleResume();
             else
                 this->conclude(this->outcome.empty() ? "unknown" : this->outcome, this->code);
             return;
@@ -235,10 +235,10 @@
             this->conclude(end.maySentBytes ? "unknown" : "not-run", -1);
             return;
         }
-        this->comeBack();
+        this->scheduleResume();
     }
 
-    void comeBack()
+    void scheduleResume()
     {
         ++this->connectionNumber; // ignore what the old connection still receives
         const bool late = Time::now() - this->startedAt > this->tally.plan.answerTimeout;
--- a/lib/Standin/batchengine.cpp
+++ b/lib/Standin/batchengine.cpp
@@ -54,7 +54,7 @@
     }
 }
 
-double BatchEngine::prefillSome()
+double BatchEngine::prefillStep()
 {
     std::uint32_t budget = this->spec.prefillPerStep;
     for (Sequence &sequence : this->running) {
@@ -66,7 +66,7 @@
 }
 
 // Selects the sequence to preempt: the latest one of the lowest priority.
-std::size_t BatchEngine::victim() const
+std::size_t BatchEngine::selectVictim() const
 {
     std::size_t chosen = 0;
     for (std::size_t i = 1; i < this->running.size(); ++i) {
@@ -78,21 +78,21 @@
 
 // Frees memory for one more token of the sequence at the index. Returns false if that sequence
 // itself was preempted. Adjusts the index if an earlier sequence was preempted.
-bool BatchEngine::makeRoom(std::size_t &index, EngineStep &step)
+bool BatchEngine::ensureMemory(std::size_t &index, EngineStep &step)
 {
     while (this->used + 1 > this->spec.memoryTokens && this->running.size() > 1) {
-        const std::size_t chosen = this->victim();
-        Sequence aside = this->running[chosen];
-        this->used -= aside.memory;
-        aside.memory = 0;
+        const std::size_t chosen = this->selectVictim();
+        Sequence evicted = this->running[chosen];
+        this->used -= evicted.memory;
+        evicted.memory = 0;
         this->running.erase(this->running.begin() + static_cast<std::ptrdiff_t>(chosen));
         ++this->preempted;
-        step.events.push_back({EngineEventKind::Preempted, aside.job.id, aside.produced});
-        const int priority = aside.job.priority;
+        step.events.push_back({EngineEventKind::Preempted, evicted.job.id, evicted.produced});
+        const int priority = evicted.job.priority;
         const auto place = std::find_if(
                 this->waiting.begin(), this->waiting.end(),
                 [priority](const Sequence &other) { return other.job.priority <= priority; });
-        this->waiting.insert(place, aside);
+        this->waiting.insert(place, evicted);
         if (chosen == index)
             return false;
         if (chosen < index)
@@ -108,7 +108,7 @@
             ++i;
             continue;
         }
-        if (!this->makeRoom(i, step))
+        if (!this->ensureMemory(i, step))
             continue;
         Sequence &sequence = this->running[i];
         ++sequence.memory;
@@ -129,7 +129,7 @@
 {
     EngineStep step;
     this->admitWaiting();
-    const double prefillMs = this->prefillSome();
+    const double prefillMs = this->prefillStep();
     const double decodeMs =
             this->spec.stepBaseMs +
             this->spec.stepPerSequenceMs * static_cast<double>(this->running.size());
--- a/lib/Standin/engineserver.cpp
+++ b/lib/Standin/engineserver.cpp
@@ -74,11 +74,11 @@
 // reads.
 std::uint32_t outputLength(const std::string &body, std::mt19937_64 &random)
 {
-    static constexpr std::string_view mark = "[[length=";
-    const std::size_t at = body.find(mark);
+    static constexpr std::string_view marker = "[[length=";
+    const std::size_t at = body.find(marker);
     if (at != std::string::npos) {
         std::uint32_t length = 0;
-        const char *start = body.data() + at + mark.size();
+        const char *start = body.data() + at + marker.size();
         std::from_chars(start, body.data() + body.size(), length);
         return std::max<std::uint32_t>(1, length);
     }
@@ -298,11 +298,11 @@
         if (all)
             out += "data: [DONE]\n\n";
         this->send(reader, std::move(out));
-        const bool cutNow = this->faults.closeAfterTokens != 0 && !generation.closedOnce &&
-                            reader->next >= this->faults.closeAfterTokens;
-        if (cutNow)
+        const bool closeNow = this->faults.closeAfterTokens != 0 && !generation.closedOnce &&
+                              reader->next >= this->faults.closeAfterTokens;
+        if (closeNow)
             generation.closedOnce = true;
-        if (all || cutNow) {
+        if (all || closeNow) {
             reader->writer->finish();
             generation.reader.reset();
         }
@@ -335,7 +335,7 @@
             const EngineStep step = this->engine.step();
             this->apply(step);
             this->pushAll();
-            this->forgetOld();
+            this->evictFinished();
             due += std::chrono::duration_cast<Duration>(step.took * this->faults.slowFactor);
             due = std::max(due, std::chrono::steady_clock::now() - std::chrono::seconds(1));
             this->wake.wait_until(lock, due, [this] { return this->stopping; });
@@ -371,7 +371,7 @@
             this->push(*generation);
     }
 
-    void forgetOld()
+    void evictFinished()
     {
         const auto oldest = std::chrono::steady_clock::now() - keepFinished;
         std::erase_if(this->generations, [oldest](const auto &entry) {
