--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -47,7 +47,8 @@
             }};
 }
 
-// Ablations: the production policy with one mechanism disabled each, to show what it contributes.
+// Ablations: the production policy with one mechanism disabled or reduced in each variant, to show
+// what that mechanism contributes.
 std::vector<NamedPolicy> variants()
 {
     FleetPolicyOptions alone;
--- a/bench/policy/stage.cpp
+++ b/bench/policy/stage.cpp
@@ -88,9 +88,9 @@
 
     struct EngineState
     {
-        EngineState(const BatchEngineSpec &spec, std::string called)
+        EngineState(const BatchEngineSpec &spec, std::string engineName)
             : model(spec)
-            , name(std::move(called))
+            , name(std::move(engineName))
         {
         }
 
@@ -113,8 +113,8 @@
     void giveUp(std::uint64_t id, bool notRun);
     void tickAll();
     void reportAll();
-    void tellProgress();
-    void breakSomething();
+    void reportProgress();
+    void injectFault();
     void killEngine(std::size_t index);
     void loseInstance(std::size_t index);
     double rateNow() const;
@@ -133,8 +133,8 @@
     std::vector<float> gaps;
     std::vector<float> firsts;
     std::vector<float> urgentFirsts;
-    std::vector<double> askedTokens;
-    std::vector<double> doneTokens;
+    std::vector<double> requestedTokens;
+    std::vector<double> completedTokens;
     std::uint64_t preemptions = 0;
     std::uint64_t measured = 0;
     std::uint64_t refused = 0;
@@ -149,8 +149,8 @@
     : workload(chosen)
     , random(chosen.seed)
     , capacity(chosen.capacityPerSecond())
-    , askedTokens(chosen.customers.size())
-    , doneTokens(chosen.customers.size())
+    , requestedTokens(chosen.customers.size())
+    , completedTokens(chosen.customers.size())
 {
     this->schedule.clock.advance(std::chrono::hours(1));
     this->startedAt = this->schedule.clock.now();
@@ -286,9 +286,9 @@
             return;
         if (engine.dead) {
             // The connection is refused, so nothing has run.
-            Request &again = alive->second;
-            this->nodes[again.instance]->policy->departed(again.ask.id, Departure::Refused, 0);
-            again.ask.avoid.push_back(engine.name);
+            Request &retried = alive->second;
+            this->nodes[retried.instance]->policy->departed(retried.ask.id, Departure::Refused, 0);
+            retried.ask.avoid.push_back(engine.name);
             this->submit(job.id);
             return;
         }
@@ -361,8 +361,8 @@
     const double total = this->workload.warmUp + this->workload.seconds;
     if (request.measured && this->elapsed() <= total) {
         this->goodTokens += request.produced;
-        this->doneTokens[request.customer] += request.produced;
-        this->askedTokens[request.customer] += request.produced;
+        this->completedTokens[request.customer] += request.produced;
+        this->requestedTokens[request.customer] += request.produced;
         this->stalls.push_back(static_cast<float>(secondsOf(request.longest)));
     }
     this->requests.erase(id);
@@ -375,7 +375,7 @@
         return;
     if (found->second.measured) {
         ++(notRun ? this->refused : this->lost);
-        this->askedTokens[found->second.customer] += found->second.ask.trueLength;
+        this->requestedTokens[found->second.customer] += found->second.ask.trueLength;
     }
     this->requests.erase(found);
 }
@@ -389,13 +389,13 @@
     this->schedule.after(tickGap, [this] { this->tickAll(); });
 }
 
-void Stage::tellProgress()
+void Stage::reportProgress()
 {
     for (const auto &[id, request] : this->requests) {
         if (request.engine >= 0 && request.produced > 0)
             this->nodes[request.instance]->policy->progress(id, request.produced);
     }
-    this->schedule.after(progressGap, [this] { this->tellProgress(); });
+    this->schedule.after(progressGap, [this] { this->reportProgress(); });
 }
 
 void Stage::reportAll()
@@ -413,13 +413,13 @@
             engine->reports.pop_front();
         if (this->frozen)
             continue;
-        EngineReport told = engine->reports.front();
-        told.alive = !engine->dead; // a refused connection shows it at once
+        EngineReport delivered = engine->reports.front();
+        delivered.alive = !engine->dead; // a refused connection shows it at once
         for (const auto &node : this->nodes) {
             auto *fleet = dynamic_cast<FleetPolicy *>(node->policy.get());
-            const bool hears = fleet == nullptr || fleet->isHomeOf(engine->name);
-            if (hears && !node->lost)
-                node->policy->report(engine->name, told);
+            const bool receives = fleet == nullptr || fleet->isHomeOf(engine->name);
+            if (receives && !node->lost)
+                node->policy->report(engine->name, delivered);
         }
     }
     this->schedule.after(reportGap, [this] { this->reportAll(); });
@@ -429,12 +429,12 @@
 {
     EngineState &engine = *this->engines[index];
     engine.dead = true;
-    std::vector<std::uint64_t> held;
+    std::vector<std::uint64_t> affected;
     for (const auto &[id, request] : this->requests) {
         if (request.engine == static_cast<int>(index))
-            held.push_back(id);
+            affected.push_back(id);
     }
-    for (const std::uint64_t id : held) {
+    for (const std::uint64_t id : affected) {
         Request &request = this->requests.at(id);
         this->nodes[request.instance]->policy->departed(request.ask.id, Departure::Lost,
                                                         request.produced);
@@ -449,8 +449,8 @@
 }
 
 // In production the callers of a lost instance reconnect to the others, and their streams continue
-// at the engines. This model counts a request as lost if it had not begun, and otherwise as taken
-// over without interruption.
+// at the engines. This model moves the requests to the other instances at once: those with an
+// engine continue without interruption, and those without one are submitted again.
 void Stage::loseInstance(std::size_t index)
 {
     this->nodes[index]->lost = true;
@@ -478,7 +478,7 @@
     });
 }
 
-void Stage::breakSomething()
+void Stage::injectFault()
 {
     switch (this->workload.fault) {
     case FaultKind::None:
@@ -507,9 +507,8 @@
     this->schedule.after(Duration(0), [this] { this->arrive(); });
     this->schedule.after(tickGap, [this] { this->tickAll(); });
     this->schedule.after(reportGap, [this] { this->reportAll(); });
-    this->schedule.after(progressGap, [this] { this->tellProgress(); });
-    this->schedule.after(seconds(this->workload.warmUp + third),
-                         [this] { this->breakSomething(); });
+    this->schedule.after(progressGap, [this] { this->reportProgress(); });
+    this->schedule.after(seconds(this->workload.warmUp + third), [this] { this->injectFault(); });
     const double total = this->workload.warmUp + this->workload.seconds;
     this->schedule.runUntil(this->startedAt + seconds(total));
 
@@ -527,9 +526,9 @@
         // For an unfinished request: what an engine that serves it alone would have produced by
         // now.
         const double age = secondsOf(this->schedule.clock.now() - request.arrivedAt);
-        this->askedTokens[request.customer] +=
+        this->requestedTokens[request.customer] +=
                 std::min<double>(request.ask.trueLength, age / uncontendedStepSeconds);
-        this->doneTokens[request.customer] += request.produced;
+        this->completedTokens[request.customer] += request.produced;
     }
     outcome.stallP99 = quantile(this->stalls, 0.99);
     outcome.itlP99 = quantile(this->gaps, 0.99);
@@ -542,8 +541,9 @@
     outcome.fairMin = 1;
     for (std::size_t i = 0; i < this->workload.customers.size(); ++i) {
         const bool small = this->workload.customers[i].weight == 1;
-        if (small && this->askedTokens[i] > 0)
-            outcome.fairMin = std::min(outcome.fairMin, this->doneTokens[i] / this->askedTokens[i]);
+        if (small && this->requestedTokens[i] > 0)
+            outcome.fairMin =
+                    std::min(outcome.fairMin, this->completedTokens[i] / this->requestedTokens[i]);
     }
     outcome.microsPerDecision = this->decisionSeconds /
                                 static_cast<double>(std::max<std::uint64_t>(1, this->decisions)) *
