--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -200,7 +200,7 @@
             "seconds", po::value(&seconds)->default_value(240), "virtual seconds measured")(
             "bound", po::value(&bound)->default_value(Workload().overflowBound),
             "overflow bound")("case", po::value(&only), "only cases whose name contains this")(
-            "variants", po::bool_switch(&withVariants), "also with single ideas taken out");
+            "variants", po::bool_switch(&withVariants), "also run the ablations");
     po::variables_map values;
     int exitCode = ExitGood;
     if (!parseCommandLine(argc, argv, options, "jaytrack-bench-policy [options]", values, exitCode))
--- a/bench/policy/stage.h
+++ b/bench/policy/stage.h
@@ -19,8 +19,8 @@
 // The measurements of a run after its warm-up.
 struct Figures
 {
-    double goodput = 0;  // tokens a second of requests that completed
-    double stallP99 = 0; // the longest time in seconds in which a request received nothing
+    double goodput = 0;  // tokens per second of requests that completed
+    double stallP99 = 0; // seconds; of the longest time in which each request received nothing
     double itlP99 = 0;
     double ttftP95 = 0;
     double urgentTtftP99 = 0; // of kinds with priority
@@ -28,13 +28,13 @@
     std::uint64_t requests = 0;
     double notRun = 0;       // share of requests
     double lost = 0;         // share that ended without an answer
-    double fairMin = 0;      // worst small customer: completed over requested
-    double backlogAtEnd = 0; // requests waiting at the end, over requests a second
+    double fairMin = 0;      // worst small customer: completed divided by requested tokens
+    double backlogAtEnd = 0; // requests waiting at the end, divided by requests per second
     double microsPerDecision = 0;
     double policyBytesPerSecond = 0; // of one instance
 };
 
-// Makes the policy of one instance.
+// Creates the policy of one instance.
 using PolicyMaker = std::function<std::unique_ptr<PlacementPolicy>(
         const std::string &name, const Clock &clock, std::uint64_t seed, PolicyTransport &transport,
         PlacementListener &listener)>;
--- a/bench/policy/workload.h
+++ b/bench/policy/workload.h
@@ -1,4 +1,4 @@
-// The workloads that placement policies are measured under.
+// The workloads of the placement policy benchmark.
 #ifndef JAYTRACK_BENCH_POLICY_WORKLOAD_H
 #define JAYTRACK_BENCH_POLICY_WORKLOAD_H
 
@@ -19,7 +19,7 @@
     double medianTokens = 100;
     double sigma = 1;
     std::uint32_t maxTokens = 20'000;
-    std::uint32_t promptTokens = 200; // besides the prefix
+    std::uint32_t promptTokens = 200; // without the prefix
     std::uint32_t prefixTokens = 0;
     std::uint32_t prefixes = 1;
     int priority = 0;
@@ -31,7 +31,7 @@
     std::string name;
     std::uint32_t weight = 1;
     double share = 1;       // of all requests
-    double burstFactor = 1; // more during the burst
+    double burstFactor = 1; // multiplies the share during the burst
 };
 
 enum class FaultKind { None, EngineDies, EngineSlow, ReportsFreeze, InstanceLost };
@@ -49,20 +49,21 @@
     FaultKind fault = FaultKind::None;
     double seconds = 240;
     double warmUp = 60;
-    double overflowBound = 0.02; // the operators' bound
-    double surgeLoad = 0;        // load during the first minute after the warm-up; 0 is none
+    double overflowBound = 0.02; // set by the operators
+    double surgeLoad = 0;        // load during the first minute after the warm-up; 0: no surge
     std::uint64_t seed = 1;
 
     std::string caseName() const;
 
-    // Requests a second that the engines can take, from the memory and slots that requests occupy.
+    // Returns how many requests per second the engines can serve, computed from the memory and
+    // slots that requests occupy.
     double capacityPerSecond() const;
 };
 
 Workload weavers(double load);
 Workload mould(double load);
 
-// A length drawn from a kind.
+// Draws an output length, in tokens, from the distribution of a kind.
 std::uint32_t drawLength(const Kind &kind, std::mt19937_64 &random);
 
 } // namespace jaytrack::bench
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -157,7 +157,7 @@
     Slope engineBytes("document_engine", "bytes_per_engine");
     Slope customerBytes("document_customer", "bytes_per_customer");
     Slope parse("document_parse", "seconds_per_byte");
-    Slope held("document_memory", "bytes_per_byte");
+    Slope documentMemory("document_memory", "bytes_per_byte");
     static constexpr std::size_t usualEngines = 600;
     static constexpr std::size_t usualCustomers = 1300;
     for (const std::size_t engines : {20U, 150U, 600U}) {
@@ -165,12 +165,12 @@
         engineBytes.add(static_cast<double>(engines), static_cast<double>(text.size()));
         const double heapBefore = heapBytes();
         const double before = cpuSeconds();
-        std::vector<std::shared_ptr<const Document>> kept;
+        std::vector<std::shared_ptr<const Document>> documents;
         static constexpr int times = 10;
         for (int i = 0; i < times; ++i)
-            kept.push_back(Document::parse(text, 1).value());
+            documents.push_back(Document::parse(text, 1).value());
         parse.add(static_cast<double>(text.size()), (cpuSeconds() - before) / times);
-        held.add(static_cast<double>(text.size()), (heapBytes() - heapBefore) / times);
+        documentMemory.add(static_cast<double>(text.size()), (heapBytes() - heapBefore) / times);
     }
     for (const std::size_t customers : {10U, 150U, 1300U}) {
         const std::string text = documentOf(usualEngines, customers).serialise();
@@ -179,7 +179,7 @@
     engineBytes.finish(csv);
     customerBytes.finish(csv);
     parse.finish(csv);
-    held.finish(csv);
+    documentMemory.finish(csv);
 }
 
 // A transport that counts messages and drops them.
@@ -189,7 +189,7 @@
     std::uint64_t bytes = 0;
 };
 
-struct DeafListener final : PlacementListener
+struct NullListener final : PlacementListener
 {
     void onPlacement(std::uint64_t, const Placement &) override {}
 };
@@ -201,7 +201,7 @@
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     CountingTransport transport;
-    DeafListener listener;
+    NullListener listener;
     FleetPolicy policy("self", clock, 1, transport, listener);
     std::vector<EngineSpec> specs;
     for (std::size_t i = 0; i < engines; ++i)
@@ -242,7 +242,7 @@
         ManualClock clock;
         clock.advance(std::chrono::hours(1));
         CountingTransport transport;
-        DeafListener listener;
+        NullListener listener;
         FleetPolicy policy("self", clock, 1, transport, listener);
         std::vector<EngineSpec> specs;
         for (std::size_t i = 0; i < engines; ++i)
@@ -342,7 +342,7 @@
     std::string csvFile;
     po::options_description options("options");
     options.add_options()("help,h", "print this help")(
-            "csv", po::value(&csvFile)->default_value("slopes.csv"), "where the raw points go");
+            "csv", po::value(&csvFile)->default_value("slopes.csv"), "the file for the raw points");
     po::variables_map values;
     int exitCode = ExitGood;
     if (!parseCommandLine(argc, argv, options, "jaytrack-slopes [options]", values, exitCode))
