--- a/lib/Load/generationcaller.cpp
+++ b/lib/Load/generationcaller.cpp
@@ -35,9 +35,9 @@
         , random(seed)
     {
         std::normal_distribution<double> normal(std::log(kind.medianTokens), kind.spread);
-        const double wanted = std::exp(normal(this->random));
-        this->length =
-                static_cast<std::uint32_t>(std::min<double>(kind.maxTokens, std::max(1.0, wanted)));
+        const double drawnLength = std::exp(normal(this->random));
+        this->length = static_cast<std::uint32_t>(
+                std::min<double>(kind.maxTokens, std::max(1.0, drawnLength)));
         std::bernoulli_distribution drops(shared.plan.reconnectShare);
         if (kind.stream && drops(this->random))
             this->dropAfter = 1 + this->random() % this->length;
@@ -223,8 +223,8 @@
             return;
         }
         if (end.whole && (this->failed || this->status != 200)) {
-            const bool mayComeBack = !this->resumeUrl.empty() && this->status == 503;
-            if (mayComeBack)
+            const bool mayResume = !this->resumeUrl.empty() && this->status == 503;
+            if (mayResume)
                 this->scheduleResume();
             else
                 this->conclude(this->outcome.empty() ? "unknown" : this->outcome, this->code);
--- a/lib/Load/servicecaller.cpp
+++ b/lib/Load/servicecaller.cpp
@@ -62,9 +62,9 @@
         const bool answered = answer.end.whole && !outcome.empty();
         // Without a ticket nothing has run yet, so a retry is safe for this caller too.
         const bool repeatable = this->ticketed || !this->load.once || !answer.end.maySentBytes;
-        const bool later =
+        const bool shouldWait =
                 answer.end.status == serviceUnavailable || answer.end.status == stillRunning;
-        if ((!answered || later) && repeatable && this->tries < maxTries) {
+        if ((!answered || shouldWait) && repeatable && this->tries < maxTries) {
             this->tally.runAfter(tryPause, [self = this->shared_from_this()] { self->send(); });
             return;
         }
--- a/tools/jaytrackctl/main.cpp
+++ b/tools/jaytrackctl/main.cpp
@@ -125,8 +125,8 @@
 
 // Queries the operators' interface of one instance. Prints the reason for a failure on standard
 // error.
-std::optional<std::string> askInstance(const std::string &address, const std::string &method,
-                                       const std::string &path)
+std::optional<std::string> queryInstance(const std::string &address, const std::string &method,
+                                         const std::string &path)
 {
     jaytrack::HttpClient client(1);
     jaytrack::HttpCall call;
@@ -171,8 +171,8 @@
                   << "\n";
 }
 
-int askAndPrint(int argc, const char *const *argv, const std::string &name,
-                const std::string &method, std::string path, bool takesRequest)
+int queryAndPrint(int argc, const char *const *argv, const std::string &name,
+                  const std::string &method, std::string path, bool takesRequest)
 {
     namespace po = boost::program_options;
     po::options_description options = operatorOptions();
@@ -187,7 +187,7 @@
         return exitCode;
     if (takesRequest)
         path += "?id=" + values["request"].as<std::string>();
-    const auto body = askInstance(values["operators"].as<std::string>(), method, path);
+    const auto body = queryInstance(values["operators"].as<std::string>(), method, path);
     if (!body)
         return jaytrack::ExitFailed;
     if (values["format"].as<std::string>() == "json")
@@ -199,22 +199,22 @@
 
 int runStatus(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "status", "GET", "/status", false);
+    return queryAndPrint(argc, argv, "status", "GET", "/status", false);
 }
 
 int runExplain(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "explain", "GET", "/explain", true);
+    return queryAndPrint(argc, argv, "explain", "GET", "/explain", true);
 }
 
 int runDrain(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "drain", "POST", "/drain", false);
+    return queryAndPrint(argc, argv, "drain", "POST", "/drain", false);
 }
 
 std::optional<std::vector<jaytrack::BurnRow>> readBurn(const std::string &address)
 {
-    const auto body = askInstance(address, "GET", "/burn");
+    const auto body = queryInstance(address, "GET", "/burn");
     if (!body)
         return std::nullopt;
     std::vector<jaytrack::BurnRow> rows;
@@ -335,10 +335,10 @@
 constexpr jaytrack::Command commands[] = {
         {"check", "check an inventory and its rules", runCheck},
         {"compile", "compile both into the document that the platform publishes", runCompile},
-        {"diff", "say what a new document would change", runDiff},
+        {"diff", "show what a new document would change", runDiff},
         {"status", "show an instance and the fleet as it sees it", runStatus},
         {"burn", "show how fast service levels are used up, over several instances", runBurn},
-        {"explain", "say why a request went as it did", runExplain},
+        {"explain", "explain the outcome of a request", runExplain},
         {"drain", "begin a graceful shutdown of an instance", runDrain},
         {"codes", "print the table of result codes", runCodes},
 };
--- a/tools/jaytrackd/main.cpp
+++ b/tools/jaytrackd/main.cpp
@@ -32,11 +32,11 @@
 // function waits for the end in that case too.
 void serveUntilStopped(jaytrack::Instance &instance)
 {
-    static constexpr std::chrono::milliseconds pollGap{50};
+    static constexpr std::chrono::milliseconds pollInterval{50};
     bool draining = false;
     bool cut = false;
     while (!instance.drained()) {
-        std::this_thread::sleep_for(pollGap);
+        std::this_thread::sleep_for(pollInterval);
         if (stopSignals > 0 && !draining) {
             draining = true;
             instance.drain();
