--- a/bench/policy/main.cpp
+++ b/bench/policy/main.cpp
@@ -1,4 +1,4 @@
-// jaytrack-bench-policy: measures the placement policy of production against the baselines.
+// jaytrack-bench-policy: compares the production placement policy with the baselines.
 #include "stage.h"
 
 #include "jaytrack/Support/commandline.h"
@@ -47,11 +47,12 @@
             }};
 }
 
-// The policy of production with one idea taken out each, to show what that idea is worth.
+// Ablations: the production policy with one mechanism disabled or reduced in each variant, to show
+// what that mechanism contributes.
 std::vector<NamedPolicy> variants()
 {
     FleetPolicyOptions alone;
-    alone.askHomes = false;
+    alone.useHomes = false;
     FleetPolicyOptions noForecast;
     noForecast.home.forecast = false;
     FleetPolicyOptions noShares;
@@ -131,8 +132,8 @@
                 spread(job, [](const Figures &o) { return o.stallP99; }), spread(job, preemptions));
 }
 
-// The production policy against the best baseline whose goodput is within two in a hundred of the
-// best baseline's.
+// Compares the production policy with the best baseline among those whose goodput is within 2% of
+// the best baseline's.
 void printRatios(const std::vector<Job> &jobs)
 {
     std::map<std::string, std::vector<const Job *>> byCase;
@@ -199,7 +200,7 @@
             "seconds", po::value(&seconds)->default_value(240), "virtual seconds measured")(
             "bound", po::value(&bound)->default_value(Workload().overflowBound),
             "overflow bound")("case", po::value(&only), "only cases whose name contains this")(
-            "variants", po::bool_switch(&withVariants), "also with single ideas taken out");
+            "variants", po::bool_switch(&withVariants), "also run the ablations");
     po::variables_map values;
     int exitCode = ExitGood;
     if (!parseCommandLine(argc, argv, options, "jaytrack-bench-policy [options]", values, exitCode))
--- a/bench/policy/stage.cpp
+++ b/bench/policy/stage.cpp
@@ -18,8 +18,8 @@
 constexpr Duration tickGap = std::chrono::milliseconds(20);
 constexpr Duration progressGap = std::chrono::milliseconds(250);
 constexpr Duration reportGap = std::chrono::milliseconds(250);
-constexpr std::size_t datagramOverhead = 110; // headers, name and authentication
-constexpr double unhurriedStep = 0.035;       // seconds between tokens in a batch of usual size
+constexpr std::size_t datagramOverhead = 110;    // headers, name and authentication
+constexpr double uncontendedStepSeconds = 0.035; // between tokens in a batch of usual size
 constexpr Duration reportLag = std::chrono::milliseconds(300);
 
 double quantile(std::vector<float> &values, double q)
@@ -38,7 +38,7 @@
 
 struct Request
 {
-    GenerationAsk ask;
+    GenerationRequest ask;
     std::size_t instance = 0;
     std::size_t customer = 0;
     std::size_t kind = 0;
@@ -58,7 +58,7 @@
     Figures run();
 
 private:
-    // One instance: its policy and what it is told.
+    // One instance: its policy and the updates that it receives.
     struct Node final : PolicyTransport, PlacementListener
     {
         Node(Stage &owner, std::size_t number)
@@ -88,9 +88,9 @@
 
     struct EngineState
     {
-        EngineState(const BatchEngineSpec &spec, std::string called)
+        EngineState(const BatchEngineSpec &spec, std::string engineName)
             : model(spec)
-            , name(std::move(called))
+            , name(std::move(engineName))
         {
         }
 
@@ -113,8 +113,8 @@
     void giveUp(std::uint64_t id, bool notRun);
     void tickAll();
     void reportAll();
-    void tellProgress();
-    void breakSomething();
+    void reportProgress();
+    void injectFault();
     void killEngine(std::size_t index);
     void loseInstance(std::size_t index);
     double rateNow() const;
@@ -133,8 +133,8 @@
     std::vector<float> gaps;
     std::vector<float> firsts;
     std::vector<float> urgentFirsts;
-    std::vector<double> askedTokens;
-    std::vector<double> doneTokens;
+    std::vector<double> requestedTokens;
+    std::vector<double> completedTokens;
     std::uint64_t preemptions = 0;
     std::uint64_t measured = 0;
     std::uint64_t refused = 0;
@@ -149,8 +149,8 @@
     : workload(chosen)
     , random(chosen.seed)
     , capacity(chosen.capacityPerSecond())
-    , askedTokens(chosen.customers.size())
-    , doneTokens(chosen.customers.size())
+    , requestedTokens(chosen.customers.size())
+    , completedTokens(chosen.customers.size())
 {
     this->schedule.clock.advance(std::chrono::hours(1));
     this->startedAt = this->schedule.clock.now();
@@ -220,7 +220,7 @@
     request.arrivedAt = this->schedule.clock.now();
     request.lastAt = request.arrivedAt;
     request.measured = at >= 0;
-    GenerationAsk &ask = request.ask;
+    GenerationRequest &ask = request.ask;
     ask.model = "model";
     ask.customer = customer.name;
     ask.weight = customer.weight;
@@ -251,7 +251,7 @@
 
 void Stage::submit(std::uint64_t id)
 {
-    const GenerationAsk ask = this->requests.at(id).ask;
+    const GenerationRequest ask = this->requests.at(id).ask;
     Node &node = *this->nodes[this->requests.at(id).instance];
     const auto before = std::chrono::steady_clock::now();
     node.policy->submit(ask);
@@ -266,7 +266,7 @@
         return;
     Request &request = found->second;
     if (placement.code != ResultCode::Ok) {
-        // Called from within the policy, which must not see the request go at once.
+        // Called from within the policy, which must not see the request leave during the call.
         this->schedule.after(Duration(0), [this, id] { this->giveUp(id, true); });
         return;
     }
@@ -285,10 +285,10 @@
         if (alive == this->requests.end())
             return;
         if (engine.dead) {
-            // The connection is refused; nothing has run.
-            Request &again = alive->second;
-            this->nodes[again.instance]->policy->departed(again.ask.id, Departure::Refused, 0);
-            again.ask.avoid.push_back(engine.name);
+            // The connection is refused, so nothing has run.
+            Request &retried = alive->second;
+            this->nodes[retried.instance]->policy->departed(retried.ask.id, Departure::Refused, 0);
+            retried.ask.avoid.push_back(engine.name);
             this->submit(job.id);
             return;
         }
@@ -361,8 +361,8 @@
     const double total = this->workload.warmUp + this->workload.seconds;
     if (request.measured && this->elapsed() <= total) {
         this->goodTokens += request.produced;
-        this->doneTokens[request.customer] += request.produced;
-        this->askedTokens[request.customer] += request.produced;
+        this->completedTokens[request.customer] += request.produced;
+        this->requestedTokens[request.customer] += request.produced;
         this->stalls.push_back(static_cast<float>(secondsOf(request.longest)));
     }
     this->requests.erase(id);
@@ -375,7 +375,7 @@
         return;
     if (found->second.measured) {
         ++(notRun ? this->refused : this->lost);
-        this->askedTokens[found->second.customer] += found->second.ask.trueLength;
+        this->requestedTokens[found->second.customer] += found->second.ask.trueLength;
     }
     this->requests.erase(found);
 }
@@ -389,13 +389,13 @@
     this->schedule.after(tickGap, [this] { this->tickAll(); });
 }
 
-void Stage::tellProgress()
+void Stage::reportProgress()
 {
     for (const auto &[id, request] : this->requests) {
         if (request.engine >= 0 && request.produced > 0)
             this->nodes[request.instance]->policy->progress(id, request.produced);
     }
-    this->schedule.after(progressGap, [this] { this->tellProgress(); });
+    this->schedule.after(progressGap, [this] { this->reportProgress(); });
 }
 
 void Stage::reportAll()
@@ -413,13 +413,13 @@
             engine->reports.pop_front();
         if (this->frozen)
             continue;
-        EngineReport told = engine->reports.front();
-        told.alive = !engine->dead; // a connection that is refused tells at once
+        EngineReport delivered = engine->reports.front();
+        delivered.alive = !engine->dead; // a refused connection shows it at once
         for (const auto &node : this->nodes) {
             auto *fleet = dynamic_cast<FleetPolicy *>(node->policy.get());
-            const bool hears = fleet == nullptr || fleet->isHomeOf(engine->name);
-            if (hears && !node->lost)
-                node->policy->report(engine->name, told);
+            const bool receives = fleet == nullptr || fleet->isHomeOf(engine->name);
+            if (receives && !node->lost)
+                node->policy->report(engine->name, delivered);
         }
     }
     this->schedule.after(reportGap, [this] { this->reportAll(); });
@@ -429,12 +429,12 @@
 {
     EngineState &engine = *this->engines[index];
     engine.dead = true;
-    std::vector<std::uint64_t> held;
+    std::vector<std::uint64_t> affected;
     for (const auto &[id, request] : this->requests) {
         if (request.engine == static_cast<int>(index))
-            held.push_back(id);
+            affected.push_back(id);
     }
-    for (const std::uint64_t id : held) {
+    for (const std::uint64_t id : affected) {
         Request &request = this->requests.at(id);
         this->nodes[request.instance]->policy->departed(request.ask.id, Departure::Lost,
                                                         request.produced);
@@ -448,8 +448,9 @@
     }
 }
 
-// The instance's callers come back to the others, where their streams go on at the engines; here
-// they count as lost if nothing had begun, and as taken over silently otherwise.
+// In production the callers of a lost instance reconnect to the others, and their streams continue
+// at the engines. This model moves the requests to the other instances at once: those with an
+// engine continue without interruption, and those without one are submitted again.
 void Stage::loseInstance(std::size_t index)
 {
     this->nodes[index]->lost = true;
@@ -468,7 +469,7 @@
     }
     for (const std::uint64_t id : unplaced)
         this->submit(id);
-    // The others notice after the time that failure detection takes.
+    // The other instances learn of it after the failure detection time.
     this->schedule.after(std::chrono::seconds(5), [this, names] {
         for (const auto &node : this->nodes) {
             if (!node->lost)
@@ -477,7 +478,7 @@
     });
 }
 
-void Stage::breakSomething()
+void Stage::injectFault()
 {
     switch (this->workload.fault) {
     case FaultKind::None:
@@ -506,16 +507,15 @@
     this->schedule.after(Duration(0), [this] { this->arrive(); });
     this->schedule.after(tickGap, [this] { this->tickAll(); });
     this->schedule.after(reportGap, [this] { this->reportAll(); });
-    this->schedule.after(progressGap, [this] { this->tellProgress(); });
-    this->schedule.after(seconds(this->workload.warmUp + third),
-                         [this] { this->breakSomething(); });
+    this->schedule.after(progressGap, [this] { this->reportProgress(); });
+    this->schedule.after(seconds(this->workload.warmUp + third), [this] { this->injectFault(); });
     const double total = this->workload.warmUp + this->workload.seconds;
     this->schedule.runUntil(this->startedAt + seconds(total));
 
     Figures outcome;
     outcome.requests = this->measured;
     outcome.goodput = this->goodTokens / this->workload.seconds;
-    // Callers who still wait have stalled as well.
+    // Requests that are still waiting count as stalled too.
     for (const auto &[id, request] : this->requests) {
         const Duration now = std::max(request.longest, this->schedule.clock.now() - request.lastAt);
         if (request.engine < 0)
@@ -523,11 +523,12 @@
         if (!request.measured)
             continue;
         this->stalls.push_back(static_cast<float>(secondsOf(now)));
-        // Of a request that has not ended, what an engine to itself would have produced by now.
+        // For an unfinished request: what an engine that serves it alone would have produced by
+        // now.
         const double age = secondsOf(this->schedule.clock.now() - request.arrivedAt);
-        this->askedTokens[request.customer] +=
-                std::min<double>(request.ask.trueLength, age / unhurriedStep);
-        this->doneTokens[request.customer] += request.produced;
+        this->requestedTokens[request.customer] +=
+                std::min<double>(request.ask.trueLength, age / uncontendedStepSeconds);
+        this->completedTokens[request.customer] += request.produced;
     }
     outcome.stallP99 = quantile(this->stalls, 0.99);
     outcome.itlP99 = quantile(this->gaps, 0.99);
@@ -540,8 +541,9 @@
     outcome.fairMin = 1;
     for (std::size_t i = 0; i < this->workload.customers.size(); ++i) {
         const bool small = this->workload.customers[i].weight == 1;
-        if (small && this->askedTokens[i] > 0)
-            outcome.fairMin = std::min(outcome.fairMin, this->doneTokens[i] / this->askedTokens[i]);
+        if (small && this->requestedTokens[i] > 0)
+            outcome.fairMin =
+                    std::min(outcome.fairMin, this->completedTokens[i] / this->requestedTokens[i]);
     }
     outcome.microsPerDecision = this->decisionSeconds /
                                 static_cast<double>(std::max<std::uint64_t>(1, this->decisions)) *
--- a/bench/policy/workload.cpp
+++ b/bench/policy/workload.cpp
@@ -18,7 +18,7 @@
     return list;
 }
 
-constexpr double missedPrefixShare = 0.5; // of prefixes, not found in the cache
+constexpr double missedPrefixShare = 0.5; // share of prefixes not found in the cache
 
 BatchEngineSpec crowdedEngine()
 {
@@ -56,8 +56,7 @@
 {
     std::normal_distribution<double> normal(std::log(kind.medianTokens), kind.sigma);
     const double length = std::exp(normal(random));
-    return static_cast<std::uint32_t>(
-            std::clamp(length, 1.0, static_cast<double>(kind.mostTokens)));
+    return static_cast<std::uint32_t>(std::clamp(length, 1.0, static_cast<double>(kind.maxTokens)));
 }
 
 std::string Workload::caseName() const
@@ -98,7 +97,7 @@
     const double batch = std::min(byMemory, static_cast<double>(this->engine.slots));
     const double stepSeconds =
             (this->engine.stepBaseMs + this->engine.stepPerSequenceMs * batch) / 1000;
-    // While a prompt is taken up the whole batch stands still.
+    // The whole batch pauses while a prompt is processed.
     return static_cast<double>(this->engines) / (prefillSeconds + steps * stepSeconds / batch);
 }
 
--- a/bench/slopes/main.cpp
+++ b/bench/slopes/main.cpp
@@ -1,5 +1,5 @@
-// jaytrack-slopes: measures what control costs as the fleet grows, and fits a line to each cost.
-// docs/CAPACITY.md multiplies these slopes with the planned sizes.
+// jaytrack-slopes: measures the costs of the control plane as the fleet grows, and fits a line to
+// each cost. docs/CAPACITY.md multiplies these slopes by the planned sizes.
 #include "../../unittests/Soak/fleet.h"
 #include "../policy/stage.h"
 
@@ -29,7 +29,7 @@
     double y;
 };
 
-// One cost against one size.
+// The samples of one cost as a function of one size.
 class Slope
 {
 public:
@@ -88,8 +88,8 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-// What membership and the spread of configuration cost one instance, the network and clock of the
-// measurement included.
+// Measures the cost of membership and configuration propagation for one instance, including the
+// network and the clock of the benchmark itself.
 void measureMembership(std::ostream &csv)
 {
     Slope cpu("membership_cpu", "core_share_per_member");
@@ -157,7 +157,7 @@
     Slope engineBytes("document_engine", "bytes_per_engine");
     Slope customerBytes("document_customer", "bytes_per_customer");
     Slope parse("document_parse", "seconds_per_byte");
-    Slope held("document_memory", "bytes_per_byte");
+    Slope documentMemory("document_memory", "bytes_per_byte");
     static constexpr std::size_t usualEngines = 600;
     static constexpr std::size_t usualCustomers = 1300;
     for (const std::size_t engines : {20U, 150U, 600U}) {
@@ -165,12 +165,12 @@
         engineBytes.add(static_cast<double>(engines), static_cast<double>(text.size()));
         const double heapBefore = heapBytes();
         const double before = cpuSeconds();
-        std::vector<std::shared_ptr<const Document>> kept;
+        std::vector<std::shared_ptr<const Document>> documents;
         static constexpr int times = 10;
         for (int i = 0; i < times; ++i)
-            kept.push_back(Document::parse(text, 1).value());
+            documents.push_back(Document::parse(text, 1).value());
         parse.add(static_cast<double>(text.size()), (cpuSeconds() - before) / times);
-        held.add(static_cast<double>(text.size()), (heapBytes() - heapBefore) / times);
+        documentMemory.add(static_cast<double>(text.size()), (heapBytes() - heapBefore) / times);
     }
     for (const std::size_t customers : {10U, 150U, 1300U}) {
         const std::string text = documentOf(usualEngines, customers).serialise();
@@ -179,29 +179,29 @@
     engineBytes.finish(csv);
     customerBytes.finish(csv);
     parse.finish(csv);
-    held.finish(csv);
+    documentMemory.finish(csv);
 }
 
-// A transport that counts and drops.
+// A transport that counts messages and drops them.
 struct CountingTransport final : PolicyTransport
 {
     void send(std::string_view, std::string message) override { this->bytes += message.size(); }
     std::uint64_t bytes = 0;
 };
 
-struct DeafListener final : PlacementListener
+struct NullListener final : PlacementListener
 {
     void onPlacement(std::uint64_t, const Placement &) override {}
 };
 
-// The time of one decision, with this instance the home of all engines, so that asking, deciding
-// and granting all fall on it.
+// Measures the time of one decision. This instance is the home of all engines, so that requesting,
+// deciding and granting all happen on it.
 double decisionSeconds(std::size_t engines, std::size_t customers)
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
     CountingTransport transport;
-    DeafListener listener;
+    NullListener listener;
     FleetPolicy policy("self", clock, 1, transport, listener);
     std::vector<EngineSpec> specs;
     for (std::size_t i = 0; i < engines; ++i)
@@ -211,7 +211,7 @@
     static constexpr int times = 20'000;
     const double before = cpuSeconds();
     for (int i = 1; i <= times; ++i) {
-        GenerationAsk ask;
+        GenerationRequest ask;
         ask.id = static_cast<std::uint64_t>(i);
         ask.model = "model-" + std::to_string(i % 4);
         ask.customer = "customer-" + std::to_string(static_cast<std::size_t>(i) % customers);
@@ -242,14 +242,14 @@
         ManualClock clock;
         clock.advance(std::chrono::hours(1));
         CountingTransport transport;
-        DeafListener listener;
+        NullListener listener;
         FleetPolicy policy("self", clock, 1, transport, listener);
         std::vector<EngineSpec> specs;
         for (std::size_t i = 0; i < engines; ++i)
             specs.push_back({"engine-" + std::to_string(i), "model", "dc", 64, 200'000, false});
         policy.setEngines(specs);
         for (std::uint64_t id = 1; id <= 32 * engines; ++id) {
-            GenerationAsk ask;
+            GenerationRequest ask;
             ask.id = id;
             ask.model = "model";
             ask.customer = "customer";
@@ -267,7 +267,7 @@
     tick.finish(csv);
 }
 
-// Bytes between policies against the requests that one instance places in a second.
+// Bytes between policies as a function of the requests that one instance places in a second.
 void measureGrants(std::ostream &csv)
 {
     Slope grants("grant_bytes", "bytes_per_request");
@@ -342,7 +342,7 @@
     std::string csvFile;
     po::options_description options("options");
     options.add_options()("help,h", "print this help")(
-            "csv", po::value(&csvFile)->default_value("slopes.csv"), "where the raw points go");
+            "csv", po::value(&csvFile)->default_value("slopes.csv"), "the file for the raw points");
     po::variables_map values;
     int exitCode = ExitGood;
     if (!parseCommandLine(argc, argv, options, "jaytrack-slopes [options]", values, exitCode))
--- /dev/null
+++ b/include/jaytrack/Limits/permitbucket.h
@@ -0,0 +1,57 @@
+// A token bucket for the permits that one instance grants for a target. The rate limit of a target
+// bounds the sum of the requests of all instances over some seconds, and all instances may request
+// permits at the same moment. Permits accrue at the rate that the target advertises. The bucket
+// stores a few of them, so that they are not lost while no instance requests one.
+#ifndef JAYTRACK_LIMITS_PERMITBUCKET_H
+#define JAYTRACK_LIMITS_PERMITBUCKET_H
+
+#include "jaytrack/Support/clock.h"
+
+#include <map>
+#include <string>
+#include <string_view>
+
+namespace jaytrack {
+
+class PermitBucket
+{
+public:
+    struct Rate
+    {
+        double perSecond = 0;
+        double capacity = 1; // maximum number of stored permits
+    };
+
+    // A new bucket is empty, because the previous owner of the target's limit may have granted all
+    // permits that had accrued.
+    explicit PermitBucket(TimePoint now)
+        : refilledAt(now)
+    {
+    }
+
+    // Takes one permit. Returns false if less than one is available.
+    bool tryTake(TimePoint now, const Rate &rate);
+
+    // Charges a request that is sent without a permit. The balance may become negative, so that
+    // later requests wait for it.
+    void charge(TimePoint now, const Rate &rate);
+
+    // Returns the time until a permit is available, or zero if one is available now.
+    Duration timeToNextPermit(TimePoint now, const Rate &rate) const;
+
+    // Records that the instance requested a permit. Returns how many instances have requested one
+    // within the last 3 s.
+    std::size_t recordRequester(TimePoint now, std::string_view instance);
+
+private:
+    double permitsAt(TimePoint now, const Rate &rate) const;
+    void refill(TimePoint now, const Rate &rate);
+
+    TimePoint refilledAt;
+    double permits = 0;
+    std::map<std::string, TimePoint, std::less<>> requesters;
+};
+
+} // namespace jaytrack
+
+#endif
--- a/include/jaytrack/Support/logallowance.h
+++ b/include/jaytrack/Support/logallowance.h
@@ -1,8 +1,7 @@
-// How many lines of one kind may be written in a span of time.
-//
-// Load that it answers: an instance that starts lists a thousand targets in one moment, or a writer
-// gone wrong spoils as many entries. Their lines fill what waits to be written, and the lines that
-// tell what the instance decides are dropped with the rest.
+// Limits the number of log lines of one kind per time span. An instance that starts lists a
+// thousand targets at once, and a faulty writer may corrupt as many store entries. Without a limit,
+// their lines fill the queue of the log, and the lines that record the decisions of the instance
+// are dropped as well.
 #ifndef JAYTRACK_SUPPORT_LOGALLOWANCE_H
 #define JAYTRACK_SUPPORT_LOGALLOWANCE_H
 
@@ -18,45 +17,46 @@
 public:
     LogAllowance(const Clock &time, std::size_t linesInSpan, Duration spanLength)
         : clock(time)
-        , most(linesInSpan)
-        , length(spanLength)
+        , maxLines(linesInSpan)
+        , spanDuration(spanLength)
     {
     }
 
-    // Whether one more line may be written now; if not, it counts as left out.
+    // Returns whether one more line may be written now; if not, the line counts as suppressed.
     bool take()
     {
         const TimePoint now = this->clock.now();
-        if (now - this->since >= this->length) {
-            this->since = now;
-            this->taken = 0;
+        if (now - this->spanStart >= this->spanDuration) {
+            this->spanStart = now;
+            this->writtenLines = 0;
         }
-        if (this->taken >= this->most) {
-            ++this->leftOut;
+        if (this->writtenLines >= this->maxLines) {
+            ++this->suppressedLines;
             return false;
         }
-        ++this->taken;
+        ++this->writtenLines;
         return true;
     }
 
-    // Whether the span allows no further line.
-    bool isSpent() const { return this->taken >= this->most; }
+    // Whether no further line is allowed in the current span.
+    bool isExhausted() const { return this->writtenLines >= this->maxLines; }
 
-    // How many lines were left out since this was last asked, once their span is over; else 0.
-    std::size_t takeLeftOut()
+    // Returns the number of lines suppressed since the last call, once their span is over; until
+    // then 0.
+    std::size_t takeSuppressedCount()
     {
-        if (this->clock.now() - this->since < this->length)
+        if (this->clock.now() - this->spanStart < this->spanDuration)
             return 0;
-        return std::exchange(this->leftOut, 0);
+        return std::exchange(this->suppressedLines, 0);
     }
 
 private:
     const Clock &clock;
-    std::size_t most;
-    Duration length;
-    TimePoint since;
-    std::size_t taken = 0; // in the span that runs
-    std::size_t leftOut = 0;
+    std::size_t maxLines;
+    Duration spanDuration;
+    TimePoint spanStart;
+    std::size_t writtenLines = 0; // in the current span
+    std::size_t suppressedLines = 0;
 };
 
 } // namespace jaytrack
--- /dev/null
+++ b/lib/Limits/permitbucket.cpp
@@ -0,0 +1,63 @@
+#include "jaytrack/Limits/permitbucket.h"
+
+#include <algorithm>
+
+namespace jaytrack {
+
+namespace {
+
+// An instance that still needs a permit requests it again within this time.
+constexpr std::chrono::seconds requesterRetention{3};
+
+// Requests that are sent without a permit are charged to at most this many future permits. Without
+// this bound, a target that received many of them would get no other request for a long time.
+constexpr double maxDebt = 4;
+
+} // namespace
+
+double PermitBucket::permitsAt(TimePoint now, const Rate &rate) const
+{
+    const double passed = std::chrono::duration<double>(now - this->refilledAt).count();
+    return std::min(rate.capacity, this->permits + passed * rate.perSecond);
+}
+
+void PermitBucket::refill(TimePoint now, const Rate &rate)
+{
+    this->permits = this->permitsAt(now, rate);
+    this->refilledAt = now;
+}
+
+bool PermitBucket::tryTake(TimePoint now, const Rate &rate)
+{
+    this->refill(now, rate);
+    if (this->permits < 1)
+        return false;
+    this->permits -= 1;
+    return true;
+}
+
+void PermitBucket::charge(TimePoint now, const Rate &rate)
+{
+    this->refill(now, rate);
+    this->permits = std::max(-maxDebt, this->permits - 1);
+}
+
+Duration PermitBucket::timeToNextPermit(TimePoint now, const Rate &rate) const
+{
+    const double missing = 1 - this->permitsAt(now, rate);
+    if (missing <= 0 || rate.perSecond <= 0)
+        return Duration(0);
+    const std::chrono::duration<double> wait(missing / rate.perSecond);
+    return std::chrono::duration_cast<Duration>(wait);
+}
+
+std::size_t PermitBucket::recordRequester(TimePoint now, std::string_view instance)
+{
+    std::erase_if(this->requesters, [now](const auto &requester) {
+        return requester.second < now - requesterRetention;
+    });
+    this->requesters.insert_or_assign(std::string(instance), now);
+    return this->requesters.size();
+}
+
+} // namespace jaytrack
--- a/lib/Net/connectcheck.cpp
+++ b/lib/Net/connectcheck.cpp
@@ -11,10 +11,10 @@
 
 struct Check : public std::enable_shared_from_this<Check>
 {
-    Check(asio::io_context &context, std::function<void(Listening)> told)
+    Check(asio::io_context &context, std::function<void(Listening)> callback)
         : socket(context)
         , timer(context)
-        , done(std::move(told))
+        , done(std::move(callback))
     {
     }
 
@@ -22,7 +22,7 @@
     {
         if (!this->done)
             return;
-        asio::error_code ignored; // nothing was sent, so nothing can be lost
+        asio::error_code ignored; // nothing was sent, so no data can be lost
         this->timer.cancel();
         this->socket.close(ignored);
         std::exchange(this->done, nullptr)(found);
--- a/lib/Net/httpparser.cpp
+++ b/lib/Net/httpparser.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// How http_parser says that neither a length nor chunks mark the end of a body.
+// The value by which http_parser indicates that neither a length nor chunks mark the end of a body.
 constexpr auto unknownLength = std::numeric_limits<std::uint64_t>::max();
 
 } // namespace
@@ -30,10 +30,10 @@
     bool malformed = false;
     bool noBody = false;
 
-    State(Reads reads, MessageReceiver &to, std::size_t most)
+    State(MessageKind kind, MessageReceiver &to, std::size_t headLimit)
         : receiver(to)
-        , maxHeadBytes(most)
-        , requests(reads == Reads::Requests)
+        , maxHeadBytes(headLimit)
+        , requests(kind == MessageKind::Requests)
     {
         http_parser_init(&this->parser, this->requests ? HTTP_REQUEST : HTTP_RESPONSE);
         this->parser.data = this;
@@ -65,8 +65,8 @@
         return this->addHeadBytes(text.size());
     }
 
-    // A relay must agree with its peer on where a message ends, so only the one plain spelling of
-    // chunked framing is taken, and only once.
+    // A relay must agree with its peer on where a message ends. Therefore the parser accepts only
+    // the plain spelling of chunked framing, and only once per message.
     bool framingIsPlain() const
     {
         int encodings = 0;
@@ -80,8 +80,9 @@
         return encodings <= 1;
     }
 
-    // Debian's http_parser is built lenient: it takes "Content-Length :" for another header's name,
-    // which a peer may read as the length, and answers to requests that name no protocol.
+    // Debian builds http_parser in lenient mode. It accepts "Content-Length :" as the name of a
+    // different header, although a peer may read it as the length, and it accepts requests without
+    // a protocol version.
     bool headIsStrict() const
     {
         const bool known = this->parser.http_major == 1;
@@ -97,7 +98,7 @@
             this->malformed = true;
             return -1;
         }
-        this->parser.upgrade = 0; // another protocol on the connection is never agreed to
+        this->parser.upgrade = 0; // the relay never accepts a protocol upgrade
         this->head.method = this->requests
                                     ? http_method_str(static_cast<http_method>(this->parser.method))
                                     : "";
@@ -158,32 +159,32 @@
     return made;
 }
 
-HttpMessageParser::HttpMessageParser(Reads reads, MessageReceiver &receiver,
+HttpMessageParser::HttpMessageParser(MessageKind kind, MessageReceiver &receiver,
                                      std::size_t maxHeadBytes)
-    : state(std::make_unique<State>(reads, receiver, maxHeadBytes))
+    : state(std::make_unique<State>(kind, receiver, maxHeadBytes))
 {
 }
 
 HttpMessageParser::~HttpMessageParser() = default;
 
-HttpMessageParser::Fed HttpMessageParser::feed(std::string_view bytes)
+HttpMessageParser::FeedResult HttpMessageParser::feed(std::string_view bytes)
 {
     State &now = *this->state;
     now.ended = false;
-    // An empty feed means the connection's end to http_parser; that is what finish() is for.
+    // http_parser interprets empty input as the end of the connection; finish() handles that case.
     if (bytes.empty())
         return {};
-    const std::size_t taken =
+    const std::size_t consumed =
             http_parser_execute(&now.parser, &State::settings(), bytes.data(), bytes.size());
     if (now.ended) {
         http_parser_pause(&now.parser, 0);
-        return {taken, ParseState::MessageEnded};
+        return {consumed, ParseState::MessageEnded};
     }
     if (now.tooLarge)
-        return {taken, ParseState::HeadTooLarge};
-    if (now.malformed || HTTP_PARSER_ERRNO(&now.parser) != HPE_OK || taken != bytes.size())
-        return {taken, ParseState::Malformed};
-    return {taken, ParseState::NeedsMore};
+        return {consumed, ParseState::HeadTooLarge};
+    if (now.malformed || HTTP_PARSER_ERRNO(&now.parser) != HPE_OK || consumed != bytes.size())
+        return {consumed, ParseState::Malformed};
+    return {consumed, ParseState::NeedsMore};
 }
 
 bool HttpMessageParser::finish()
--- a/lib/Net/targetcall.cpp
+++ b/lib/Net/targetcall.cpp
@@ -33,13 +33,13 @@
     return call;
 }
 
-TargetCall::TargetCall(asio::io_context &context, TargetRequest given,
+TargetCall::TargetCall(asio::io_context &context, TargetRequest outgoingRequest,
                        std::weak_ptr<TargetCallListener> to)
     : socket(context)
     , timer(context)
-    , request(std::move(given))
+    , request(std::move(outgoingRequest))
     , listener(std::move(to))
-    , parser(HttpMessageParser::Reads::Answers, *this, maxAnswerHeadBytes)
+    , parser(HttpMessageParser::MessageKind::Answers, *this, maxAnswerHeadBytes)
 {
     if (this->request.method == "HEAD")
         this->parser.expectNoBody();
@@ -54,7 +54,7 @@
     });
     this->socket.async_connect(this->request.endpoint,
                                [self = this->shared_from_this()](const asio::error_code &failure) {
-                                   if (self->over)
+                                   if (self->ended)
                                        return;
                                    if (failure)
                                        self->end(false, "connect_failed");
@@ -76,8 +76,8 @@
             [self = this->shared_from_this()](const asio::error_code &failure, std::size_t) {
                 self->outgoing.clear();
                 self->outgoing.shrink_to_fit();
-                // A target may answer without reading the whole body; the answer is
-                // read all the same, so a failed write alone ends nothing.
+                // A target may respond without reading the whole body. The response is read in any
+                // case, so a failed write does not end the call.
                 (void)failure;
             });
     this->read();
@@ -85,7 +85,7 @@
 
 void TargetCall::read()
 {
-    if (this->over || this->paused || this->reading)
+    if (this->ended || this->paused || this->reading)
         return;
     this->reading = true;
     this->socket.async_read_some(
@@ -98,10 +98,10 @@
 
 void TargetCall::onRead(const asio::error_code &failure, std::size_t bytes)
 {
-    if (this->over)
+    if (this->ended)
         return;
     if (failure) {
-        // Only an orderly end completes an answer without a length; after a reset bytes are
+        // Only an orderly shutdown completes a response without a length; after a reset, bytes are
         // missing.
         const bool orderly = failure == asio::error::eof;
         if (orderly && this->parser.inMessage() && this->parser.finish())
@@ -109,15 +109,15 @@
         return this->end(false, orderly ? "closed_early" : "reset", true);
     }
     std::string_view rest(this->incoming.data(), bytes);
-    while (!rest.empty() && !this->over) {
-        const HttpMessageParser::Fed fed = this->parser.feed(rest);
-        rest.remove_prefix(std::min(fed.taken, rest.size()));
-        if (this->over)
+    while (!rest.empty() && !this->ended) {
+        const HttpMessageParser::FeedResult fed = this->parser.feed(rest);
+        rest.remove_prefix(std::min(fed.consumed, rest.size()));
+        if (this->ended)
             return;
         if (fed.state == ParseState::MessageEnded) {
             if (this->answered)
                 return this->end(true, "complete");
-            continue; // an interim answer
+            continue; // an interim response
         }
         if (fed.state != ParseState::NeedsMore)
             return this->end(false, "garbled");
@@ -136,7 +136,7 @@
 
 void TargetCall::onBody(std::string_view bytes)
 {
-    if (this->over || this->interim)
+    if (this->ended || this->interim)
         return;
     if (const auto to = this->listener.lock())
         to->onAnswerBody(bytes);
@@ -149,7 +149,7 @@
 
 void TargetCall::end(bool whole, std::string_view reason, bool lostConnection)
 {
-    if (this->over)
+    if (this->ended)
         return;
     this->cancel();
     if (const auto to = this->listener.lock())
@@ -158,8 +158,8 @@
 
 void TargetCall::cancel()
 {
-    this->over = true;
-    asio::error_code ignored; // closing cannot fail in a way that matters to anybody
+    this->ended = true;
+    asio::error_code ignored; // no error of closing needs handling
     this->timer.cancel();
     this->socket.close(ignored);
 }
--- a/lib/Proxy/entrybeliefs.cpp
+++ b/lib/Proxy/entrynotifications.cpp
@@ -1,4 +1,4 @@
-// What an entry instance believes of targets, and what it and the other instances tell each other.
+// Handles changes of targets and the messages exchanged with other instances.
 #include "entryparts.h"
 
 #include "jaytrack/Support/log.h"
@@ -9,34 +9,35 @@
 
 namespace {
 
-// Targets write their entries about once a second, and the list lags by as much.
-constexpr std::chrono::milliseconds untilEntriesTell{2200};
+// Time until the entries of targets are current: targets write them about once a second, and the
+// list lags by the same amount.
+constexpr std::chrono::milliseconds entryDelay{2200};
 
 } // namespace
 
 void EntryInstance::Parts::onTargetListed(const TargetEntry &entry)
 {
-    if (this->listedLines.take())
+    if (this->listingLogAllowance.take())
         logEvent(Severity::Info, "target_listed",
                  {{"target", entry.id},
                   {"service", entry.service},
                   {"address", entry.address},
                   {"data_centre", entry.dataCentre}});
-    this->engines.listed(entry);
+    this->engines.onListed(entry);
     if (!this->isEngine(entry))
         return;
-    this->shares.listed(entry.id);
+    this->shares.onListed(entry.id);
     if (!this->directory.isOutOfUse(entry.dataCentre))
         this->prober.add(entry);
 }
 
-void EntryInstance::Parts::logListingsLeftOut()
+void EntryInstance::Parts::logOmittedListings()
 {
-    const std::size_t leftOut = this->listedLines.takeLeftOut();
-    if (leftOut == 0)
+    const std::size_t omitted = this->listingLogAllowance.takeSuppressedCount();
+    if (omitted == 0)
         return;
     logEvent(Severity::Info, "targets_listed",
-             {{"more", static_cast<std::int64_t>(leftOut)},
+             {{"more", static_cast<std::int64_t>(omitted)},
               {"targets", static_cast<std::int64_t>(this->directory.size())}});
 }
 
@@ -52,9 +53,10 @@
     return service != nullptr && service->engine;
 }
 
-void EntryInstance::Parts::noteCold(std::string_view target, Duration left, std::string_view source)
+void EntryInstance::Parts::recordCold(std::string_view target, Duration left,
+                                      std::string_view source)
 {
-    if (!this->cold.heard(target, left))
+    if (!this->cold.recordCold(target, left))
         return;
     logEvent(Severity::Info, "target_cold",
              {{"target", target}, {"for_ms", toMillis(left)}, {"source", source}});
@@ -63,38 +65,38 @@
 
 void EntryInstance::Parts::onTargetCold(const TargetEntry &entry)
 {
-    this->noteCold(entry.id, entry.coldFor, "store");
+    this->recordCold(entry.id, entry.coldFor, "store");
 }
 
 void EntryInstance::Parts::onColdFromPeer(std::string_view target, Duration left)
 {
-    this->noteCold(target, left, "peer");
+    this->recordCold(target, left, "peer");
 }
 
-// The targets of a data centre that comes back may have gone cold just before, and their entries
-// say so only some time later.
-void EntryInstance::Parts::doubtWarmth(const TargetEntry &entry)
+// Treats a target of a data centre that is back in use as cold, because it may have become cold
+// just before, and its entry shows that only later.
+void EntryInstance::Parts::assumeCold(const TargetEntry &entry)
 {
     const ServiceRule *service = this->serviceOf(entry);
     if (service != nullptr && service->cold.requestsPerSecond > 0)
-        this->noteCold(entry.id, service->cold.lasts + untilEntriesTell, "data_centre_back");
+        this->recordCold(entry.id, service->cold.duration + entryDelay, "data_centre_back");
 }
 
-// What was known of the engines' load is old when they come back, and would be forecast to have
-// grown ever since.
+// Load data of engines is discarded when their data centre is back in use: it is old, and the
+// forecast would assume that the load has grown ever since.
 void EntryInstance::Parts::onDataCentreUse(std::string_view dataCentre, bool outOfUse)
 {
-    const std::vector<TargetEntry> concerned = this->directory.staying(dataCentre);
+    const std::vector<TargetEntry> affected = this->directory.nonLeavingTargets(dataCentre);
     logEvent(Severity::Warning, outOfUse ? "data_centre_out_of_use" : "data_centre_back",
              {{"data_centre", dataCentre},
-              {"targets", static_cast<std::int64_t>(concerned.size())},
+              {"targets", static_cast<std::int64_t>(affected.size())},
               {"revision", static_cast<std::int64_t>(this->follower->knownRevision())},
               {"config_age_ms", toMillis(this->configuration.age())}});
     this->metrics.count(outOfUse ? "jaytrack_data_centres_out_of_use_total"
                                  : "jaytrack_data_centres_back_total");
-    for (const TargetEntry &target : concerned) {
+    for (const TargetEntry &target : affected) {
         if (!outOfUse)
-            this->doubtWarmth(target);
+            this->assumeCold(target);
         if (!this->isEngine(target))
             continue;
         if (outOfUse) {
@@ -102,7 +104,7 @@
             continue;
         }
         this->engines.forget(target.id);
-        this->engines.listed(target);
+        this->engines.onListed(target);
         this->prober.add(target);
     }
     if (!outOfUse)
@@ -116,8 +118,8 @@
 {
     logEvent(Severity::Info, "target_leaving",
              {{"target", entry.id}, {"service", entry.service}, {"reason", reason}});
-    this->engines.gone(entry.id);
-    this->shares.gone(entry.id);
+    this->engines.onRemoved(entry.id);
+    this->shares.onRemoved(entry.id);
     this->health.forget(entry.id);
     this->prober.remove(entry.id);
     const std::vector<std::shared_ptr<Exchange>> served(this->open.begin(), this->open.end());
@@ -134,7 +136,7 @@
               {"leaving", ended.leaving ? 1 : 0}});
     this->metrics.count("jaytrack_targets_restarted_total");
     this->engines.forget(ended.id);
-    this->shares.gone(ended.id);
+    this->shares.onRemoved(ended.id);
     this->health.forget(ended.id);
     this->limitGate.forget(ended.id);
     this->prober.remove(ended.id);
@@ -146,22 +148,22 @@
 void EntryInstance::Parts::onPlacedByPeer(std::string_view engine, const GenerationNeed &need,
                                           bool copied)
 {
-    this->engines.placedByOthers(engine, need, copied);
+    this->engines.recordRemotePlacement(engine, need, copied);
 }
 
 void EntryInstance::Parts::onReleasedByPeer(std::string_view engine, std::uint32_t tokens)
 {
-    this->engines.releasedByOthers(engine, tokens);
+    this->engines.recordRemoteRelease(engine, tokens);
 }
 
 void EntryInstance::Parts::onFailedForPeer(std::string_view engine, std::string_view peer)
 {
-    this->engines.failedForOther(engine, peer);
+    this->engines.recordRemoteFailure(engine, peer);
 }
 
 void EntryInstance::Parts::onLoadFromPeer(std::string_view engine, const EngineLoad &load)
 {
-    this->engines.reported(engine, load);
+    this->engines.recordReport(engine, load);
     if (load.leaving)
         this->directory.markLeaving(engine, "reported_to_peer");
 }
@@ -171,15 +173,16 @@
     this->sharing.onStoreFromPeer(changes);
 }
 
-void EntryInstance::Parts::onFreshnessAsked(std::string_view peer, std::int64_t askedAt)
+void EntryInstance::Parts::onFreshnessQuery(std::string_view peer, std::int64_t requestedAt)
 {
-    this->sharing.onFreshnessAsked(peer, askedAt);
+    this->sharing.onFreshnessQuery(peer, requestedAt);
 }
 
-void EntryInstance::Parts::onFreshness(std::string_view peer, std::int64_t askedAt, Duration age,
-                                       std::uint64_t era, std::uint64_t revision)
+void EntryInstance::Parts::onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt,
+                                             Duration age, std::uint64_t era,
+                                             std::uint64_t revision)
 {
-    this->sharing.onFreshness(peer, askedAt, age, era, revision);
+    this->sharing.onFreshnessAnswer(peer, requestedAt, age, era, revision);
 }
 
 void EntryInstance::Parts::onLeavingFromPeer(std::string_view target)
@@ -226,34 +229,34 @@
         this->peers->announceCold(target, left);
 }
 
-void EntryInstance::Parts::tellAll(const QuarantineNews &news)
+void EntryInstance::Parts::broadcastQuarantine(const QuarantineMessage &news)
 {
     if (this->peers)
-        this->peers->tellAll(news);
+        this->peers->broadcastQuarantine(news);
 }
 
-void EntryInstance::Parts::tellSome(const QuarantineNews &news)
+void EntryInstance::Parts::sendQuarantineToSample(const QuarantineMessage &news)
 {
     if (this->peers)
-        this->peers->tellSome(news);
+        this->peers->sendQuarantineToSample(news);
 }
 
-void EntryInstance::Parts::tellLimits(std::string_view instance, const LimitNews &news)
+void EntryInstance::Parts::sendLimits(std::string_view instance, const LimitMessage &news)
 {
     if (this->peers)
-        this->peers->tellLimits(instance, news);
+        this->peers->sendLimits(instance, news);
 }
 
-void EntryInstance::Parts::tellAllLimits(const LimitNews &news)
+void EntryInstance::Parts::broadcastLimits(const LimitMessage &news)
 {
     if (this->peers)
-        this->peers->tellAllLimits(news);
+        this->peers->broadcastLimits(news);
 }
 
-void EntryInstance::Parts::tellSomeLimits(const LimitNews &news)
+void EntryInstance::Parts::sendLimitsToSample(const LimitMessage &news)
 {
     if (this->peers)
-        this->peers->tellSomeLimits(news);
+        this->peers->sendLimitsToSample(news);
 }
 
 void EntryInstance::Parts::onRequestBarred(std::string_view digest)
@@ -265,27 +268,27 @@
 
 bool EntryInstance::Parts::isMineToAsk(std::string_view engine) const
 {
-    return this->shares.isMineToAsk(engine);
+    return this->shares.shouldPollLoad(engine);
 }
 
 void EntryInstance::Parts::onNoLoad(std::string_view engine)
 {
-    this->engines.failed(engine);
+    this->engines.recordFailure(engine);
     this->announceFailed(engine);
 }
 
 void EntryInstance::Parts::onLoad(std::string_view engine, const EngineLoad &load)
 {
-    if (load.startedAt != untoldStart)
-        this->directory.hearStart(engine, load.startedAt);
-    // A report of another life says nothing of the one that was asked.
+    if (load.startedAt != unknownStart)
+        this->directory.updateStartTime(engine, load.startedAt);
+    // A report of another incarnation says nothing about the engine that was probed.
     const TargetEntry *listed = this->directory.find(engine);
     const bool other = listed == nullptr ||
-                       (load.startedAt != untoldStart && listed->startedAt != untoldStart &&
+                       (load.startedAt != unknownStart && listed->startedAt != unknownStart &&
                         load.startedAt != listed->startedAt);
     if (other)
         return;
-    this->engines.reported(engine, load);
+    this->engines.recordReport(engine, load);
     if (this->peers)
         this->peers->announce(engine, load);
     if (load.leaving)
--- a/lib/Standin/engineserver.cpp
+++ b/lib/Standin/engineserver.cpp
@@ -24,7 +24,7 @@
 constexpr std::uint32_t bytesPerToken = 4;
 constexpr std::string_view generationsPath = "/v1/generations/";
 
-// One caller's connection to a generation.
+// The connection over which one caller reads a generation.
 struct Reader
 {
     std::shared_ptr<ResponseWriter> writer;
@@ -33,7 +33,7 @@
     std::atomic<bool> lost{false};
 };
 
-// A generation and all it has produced; tokens are a function of name and index.
+// A generation and its output. Each token is a function of the generation's name and the index.
 struct Generation
 {
     std::string name;
@@ -70,14 +70,15 @@
     return "id: " + std::to_string(index) + "\ndata: " + data.dump() + "\n\n";
 }
 
-// Lengths are heavy-tailed; a prompt may ask for one with a mark that only the stand-in reads.
+// Lengths are heavy-tailed. A prompt may request a length with a marker that only the stand-in
+// reads.
 std::uint32_t outputLength(const std::string &body, std::mt19937_64 &random)
 {
-    static constexpr std::string_view mark = "[[length=";
-    const std::size_t at = body.find(mark);
+    static constexpr std::string_view marker = "[[length=";
+    const std::size_t at = body.find(marker);
     if (at != std::string::npos) {
         std::uint32_t length = 0;
-        const char *start = body.data() + at + mark.size();
+        const char *start = body.data() + at + marker.size();
         std::from_chars(start, body.data() + body.size(), length);
         return std::max<std::uint32_t>(1, length);
     }
@@ -226,7 +227,7 @@
         this->attachReader(generation, writer, from);
     }
 
-    // A later reader takes the stream over; the earlier one is told so.
+    // A new reader replaces the previous one, which receives a "superseded" event.
     void attachReader(const std::shared_ptr<Generation> &generation,
                       const std::shared_ptr<ResponseWriter> &writer, std::uint32_t from)
     {
@@ -273,7 +274,7 @@
         generation.reader.reset();
     }
 
-    // Sends what the reader lacks, as far as its connection takes it.
+    // Sends the tokens that the reader lacks, as far as its connection accepts them.
     void push(Generation &generation)
     {
         const std::shared_ptr<Reader> reader = generation.reader;
@@ -297,11 +298,11 @@
         if (all)
             out += "data: [DONE]\n\n";
         this->send(reader, std::move(out));
-        const bool cutNow = this->faults.closeAfterTokens != 0 && !generation.closedOnce &&
-                            reader->next >= this->faults.closeAfterTokens;
-        if (cutNow)
+        const bool closeNow = this->faults.closeAfterTokens != 0 && !generation.closedOnce &&
+                              reader->next >= this->faults.closeAfterTokens;
+        if (closeNow)
             generation.closedOnce = true;
-        if (all || cutNow) {
+        if (all || closeNow) {
             reader->writer->finish();
             generation.reader.reset();
         }
@@ -334,7 +335,7 @@
             const EngineStep step = this->engine.step();
             this->apply(step);
             this->pushAll();
-            this->forgetOld();
+            this->evictFinished();
             due += std::chrono::duration_cast<Duration>(step.took * this->faults.slowFactor);
             due = std::max(due, std::chrono::steady_clock::now() - std::chrono::seconds(1));
             this->wake.wait_until(lock, due, [this] { return this->stopping; });
@@ -370,7 +371,7 @@
             this->push(*generation);
     }
 
-    void forgetOld()
+    void evictFinished()
     {
         const auto oldest = std::chrono::steady_clock::now() - keepFinished;
         std::erase_if(this->generations, [oldest](const auto &entry) {
--- a/tools/jaytrackctl/main.cpp
+++ b/tools/jaytrackctl/main.cpp
@@ -39,7 +39,7 @@
 {
     boost::program_options::options_description options = inventoryOptions();
     options.add_options()("output,o", boost::program_options::value<std::string>(),
-                          "where the document goes; standard output if absent");
+                          "the file for the document; default: standard output");
     boost::program_options::variables_map values;
     int exitCode = jaytrack::ExitGood;
     if (!jaytrack::parseCommandLine(argc, argv, options,
@@ -123,9 +123,10 @@
     return options;
 }
 
-// Asks one instance's operators' interface; says on standard error why it failed.
-std::optional<std::string> askInstance(const std::string &address, const std::string &method,
-                                       const std::string &path)
+// Queries the operators' interface of one instance. Prints the reason for a failure on standard
+// error.
+std::optional<std::string> queryInstance(const std::string &address, const std::string &method,
+                                         const std::string &path)
 {
     jaytrack::HttpClient client(1);
     jaytrack::HttpCall call;
@@ -144,13 +145,13 @@
     return std::nullopt;
 }
 
-// The value as it stands in a table.
+// Formats the value for a table cell.
 std::string cell(const nlohmann::json &value)
 {
     return value.is_string() ? value.get<std::string>() : value.dump();
 }
 
-// One line for each plain value of an object, and a table of its members if it has any.
+// Prints one line for each plain value of an object, and a table of its members if it has any.
 void printTable(const nlohmann::json &object)
 {
     for (const auto &[key, value] : object.items()) {
@@ -170,8 +171,8 @@
                   << "\n";
 }
 
-int askAndPrint(int argc, const char *const *argv, const std::string &name,
-                const std::string &method, std::string path, bool takesRequest)
+int queryAndPrint(int argc, const char *const *argv, const std::string &name,
+                  const std::string &method, std::string path, bool takesRequest)
 {
     namespace po = boost::program_options;
     po::options_description options = operatorOptions();
@@ -186,7 +187,7 @@
         return exitCode;
     if (takesRequest)
         path += "?id=" + values["request"].as<std::string>();
-    const auto body = askInstance(values["operators"].as<std::string>(), method, path);
+    const auto body = queryInstance(values["operators"].as<std::string>(), method, path);
     if (!body)
         return jaytrack::ExitFailed;
     if (values["format"].as<std::string>() == "json")
@@ -198,22 +199,22 @@
 
 int runStatus(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "status", "GET", "/status", false);
+    return queryAndPrint(argc, argv, "status", "GET", "/status", false);
 }
 
 int runExplain(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "explain", "GET", "/explain", true);
+    return queryAndPrint(argc, argv, "explain", "GET", "/explain", true);
 }
 
 int runDrain(int argc, const char *const *argv)
 {
-    return askAndPrint(argc, argv, "drain", "POST", "/drain", false);
+    return queryAndPrint(argc, argv, "drain", "POST", "/drain", false);
 }
 
 std::optional<std::vector<jaytrack::BurnRow>> readBurn(const std::string &address)
 {
-    const auto body = askInstance(address, "GET", "/burn");
+    const auto body = queryInstance(address, "GET", "/burn");
     if (!body)
         return std::nullopt;
     std::vector<jaytrack::BurnRow> rows;
@@ -260,11 +261,11 @@
     return list;
 }
 
-// A page that needs nothing else: the figures are embedded as JSON and drawn by the browser.
+// A self-contained page: the figures are embedded as JSON and the browser draws them.
 void printBurnPage(const std::vector<jaytrack::BurnRow> &rows)
 {
     std::string data = burnJson(rows).dump();
-    // A name with "</script>" in it would end the element that carries the data.
+    // A name that contains "</script>" would end the element that holds the data.
     for (std::size_t at = data.find('<'); at != std::string::npos; at = data.find('<', at))
         data.replace(at, 1, "\\u003c");
     std::cout << R"(<!doctype html><meta charset="utf-8"><title>Service-level burn</title>
@@ -334,10 +335,10 @@
 constexpr jaytrack::Command commands[] = {
         {"check", "check an inventory and its rules", runCheck},
         {"compile", "compile both into the document that the platform publishes", runCompile},
-        {"diff", "say what a new document would change", runDiff},
+        {"diff", "show what a new document would change", runDiff},
         {"status", "show an instance and the fleet as it sees it", runStatus},
         {"burn", "show how fast service levels are used up, over several instances", runBurn},
-        {"explain", "say why a request went as it did", runExplain},
+        {"explain", "explain the outcome of a request", runExplain},
         {"drain", "begin a graceful shutdown of an instance", runDrain},
         {"codes", "print the table of result codes", runCodes},
 };
--- /dev/null
+++ b/unittests/Cluster/configpropagationtest.cpp
@@ -0,0 +1,88 @@
+#include "jaytrack/Cluster/configpropagation.h"
+
+#include <criterion/criterion.h>
+
+#include <vector>
+
+using namespace jaytrack;
+
+namespace {
+
+struct Fixture final : DocumentSink, DocumentFetcher
+{
+    Fixture() { this->clock.advance(std::chrono::hours(1)); }
+
+    void offer(std::string_view, std::uint64_t offered, std::string_view) override
+    {
+        this->currentRevision = std::max(this->currentRevision, offered);
+    }
+    std::uint64_t revision() const override { return this->currentRevision; }
+    void fetchDocument(const std::string &peer) override { this->fetched.push_back(peer); }
+
+    ManualClock clock;
+    std::uint64_t currentRevision = 0;
+    std::vector<std::string> fetched;
+};
+
+} // namespace
+
+// Guards against a new instance that serves replaced rules: it starts while the service's replica
+// is behind, and becomes ready without comparing its revision with its peers.
+Test(configpropagation, newInstanceComparesWithPeersFirst)
+{
+    Fixture fixture;
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    fixture.currentRevision = 3;
+    spread.onService(3, fixture.clock.now());
+    cr_assert(!spread.mayServe());
+    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
+    cr_assert(fixture.fetched.size() == 1);
+    spread.onFetched("p", 5, "bytes");
+    cr_assert(fixture.currentRevision == 5);
+    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
+    cr_assert(spread.mayServe());
+}
+
+Test(configpropagation, servesWithoutPeersAfterADelay)
+{
+    Fixture fixture;
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    cr_assert(!spread.mayServe());
+    fixture.currentRevision = 3;
+    fixture.clock.advance(std::chrono::seconds(2));
+    cr_assert(spread.mayServe());
+}
+
+// Guards against waiting for one peer without a time-out: the instance would never receive a
+// revision if the peer it fetches from has died.
+Test(configpropagation, fetchesFromAnotherPeerAfterATimeout)
+{
+    Fixture fixture;
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    spread.onPeer("dead", 5, Duration(0), fixture.clock.now());
+    spread.onPeer("alive", 5, Duration(0), fixture.clock.now());
+    cr_assert(fixture.fetched.size() == 1);
+    fixture.clock.advance(std::chrono::seconds(3));
+    spread.tick();
+    cr_assert(fixture.fetched.size() == 2);
+    cr_assert(fixture.fetched[0] != fixture.fetched[1]);
+}
+
+// Guards against confirming old rules without an answer to an own request. A paused instance would
+// otherwise accept a stale replica or an unsolicited message of a peer as confirmation.
+Test(configpropagation, onlyAnswersConfirmARevision)
+{
+    Fixture fixture;
+    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    fixture.currentRevision = 5;
+    fixture.clock.advance(std::chrono::seconds(60));
+    spread.onService(4, fixture.clock.now());
+    spread.onPeer("p", 5, Duration(0), std::nullopt);
+    cr_assert(spread.mayBeStale());
+    spread.onPeer("p", 5, std::chrono::seconds(30), fixture.clock.now());
+    cr_assert(spread.mayBeStale(), "the peer has not confirmed the revision for 30 s");
+    spread.onPeer("p", 5, std::chrono::seconds(1), fixture.clock.now());
+    cr_assert(!spread.mayBeStale());
+    fixture.clock.advance(std::chrono::seconds(30));
+    cr_assert(spread.mayBeStale());
+}
--- a/unittests/Config/documenttest.cpp
+++ b/unittests/Config/documenttest.cpp
@@ -15,7 +15,7 @@
 
 const std::string goodDocument = R"({"models":[],"engines":[],"services":[],"customers":[]})";
 
-// A file with the given text that goes when the test does.
+// A file with the given text, removed when the test ends.
 class TemporaryFile
 {
 public:
@@ -50,7 +50,7 @@
     ResultCode code;
 };
 
-ParameterizedTestParameters(document, refusesTheFaulty)
+ParameterizedTestParameters(document, rejectsFaultyDocument)
 {
     static BadDocument cases[] = {
             {"", ResultCode::DocumentMalformed},
@@ -73,8 +73,8 @@
     return cr_make_param_array(BadDocument, cases, std::size(cases));
 }
 
-// Whatever is wrong with a document, the one in force stays.
-ParameterizedTest(BadDocument *param, document, refusesTheFaulty)
+// A faulty document is rejected and leaves the current one in effect, whatever the fault.
+ParameterizedTest(BadDocument *param, document, rejectsFaultyDocument)
 {
     const auto parsed = Document::parse(param->text, 2);
     cr_assert(!parsed);
@@ -87,8 +87,9 @@
     cr_assert(store.current()->revision == 1);
 }
 
-// Symptom: a rule that was taken back is in force again. Events: a replica that is behind, or a
-// peer that was paused, offers what it has. Cause: taking the latest word for the newest.
+// Guards against a revoked rule taking effect again: a lagging replica or a peer that was paused
+// offers its older document, and the store accepts the latest offer instead of the highest
+// revision.
 Test(documentstore, neverReverts)
 {
     DocumentStore store;
@@ -122,12 +123,12 @@
 
 struct BadSettings
 {
-    char line[80]; // added to settings that are good without it
+    char line[80]; // added to otherwise valid settings
     ResultCode code;
     char key[40];
 };
 
-ParameterizedTestParameters(settings, namesEachFault)
+ParameterizedTestParameters(settings, reportsEachFault)
 {
     static BadSettings cases[] = {
             {"[limits]\nunknown = 1\n", ResultCode::SettingsUnknownKey, "limits.unknown"},
@@ -140,7 +141,7 @@
     return cr_make_param_array(BadSettings, cases, std::size(cases));
 }
 
-ParameterizedTest(BadSettings *param, settings, namesEachFault)
+ParameterizedTest(BadSettings *param, settings, reportsEachFault)
 {
     const TemporaryFile file(std::string("name = \"a\"\ndata_centre = \"d\"\n"
                                          "[callers]\naddress = \"127.0.0.1\"\nport = 1\n"
@@ -154,8 +155,8 @@
     cr_assert(contains(problems, param->code, param->key), "%s", problems[0].text().c_str());
 }
 
-// All faults of a file are told at once, so that nobody mends them one start at a time.
-Test(settings, tellsAllAtOnce)
+// All faults of a file are reported in one run, so that operators need not restart once per fault.
+Test(settings, reportsAllFaults)
 {
     const TemporaryFile file("name = 7\nwhat = 1\n[peers]\naddress = \"x\"\nport = 99999\n");
     Problems problems;
@@ -166,7 +167,7 @@
     cr_assert(contains(problems, ResultCode::SettingsMissing, "data_centre"));
 }
 
-Test(settings, refusesWhatIsNotToml)
+Test(settings, rejectsInvalidToml)
 {
     const TemporaryFile file("name = \n");
     Problems problems;
@@ -176,7 +177,7 @@
     cr_assert(problems[0].line == 1);
 }
 
-Test(inventory, namesFaultsAcrossBothFiles)
+Test(inventory, reportsFaultsInBothFiles)
 {
     const TemporaryFile inventory("data_centres = [\"falun\"]\n"
                                   "[[engines]]\nname = \"e\"\ndata_centre = \"mora\"\n"
@@ -193,7 +194,7 @@
     cr_assert(contains(problems, ResultCode::DocumentDanglingName, "customers[0].name"));
 }
 
-Test(inventory, examplesAreGoodAndCompileTheSameTwice)
+Test(inventory, examplesCompileReproducibly)
 {
     for (const char *name : {"weavers", "mould"}) {
         const std::string folder = std::string(JAYTRACK_EXAMPLES) + "/" + name;
--- a/unittests/Support/compressiontest.cpp
+++ b/unittests/Support/compressiontest.cpp
@@ -1,11 +1,11 @@
-// Values that are compressed between instances, and what strays make of them.
+// Tests compression of the values passed between instances, including malformed input.
 #include "jaytrack/Support/compression.h"
 
 #include <criterion/criterion.h>
 
 using namespace jaytrack;
 
-Test(compression, whatWasCompressedComesBack)
+Test(compression, roundTripRestoresValue)
 {
     for (const std::size_t size : {0, 1, 600, 100000}) {
         const std::string plain(size, 'v');
@@ -13,8 +13,9 @@
     }
 }
 
-// A datagram that claims to hold gigabytes, or is cut, must cost nothing but itself.
-Test(compression, falseClaimsAreRefused)
+// A datagram that is truncated or claims to hold gigabytes must be rejected without allocating the
+// claimed size.
+Test(compression, rejectsFalseSizeClaims)
 {
     const std::string plain(5000, 'v');
     const std::string packed = compressed(plain);
