--- a/lib/Policy/baselines.cpp
+++ b/lib/Policy/baselines.cpp
@@ -62,15 +62,15 @@
 
     void setInstances(std::span<const std::string>) override {}
 
-    void submit(const GenerationRequest &ask) override
+    void submit(const GenerationRequest &request) override
     {
-        if (!this->tryPlace(ask))
-            this->waiting.push_back({ask, this->clock.now()});
+        if (!this->tryPlace(request))
+            this->waiting.push_back({request, this->clock.now()});
     }
 
     void withdraw(std::uint64_t id) override
     {
-        this->waiting.remove_if([id](const Waiting &entry) { return entry.ask.id == id; });
+        this->waiting.remove_if([id](const Waiting &entry) { return entry.request.id == id; });
     }
 
     void progress(std::uint64_t id, std::uint32_t producedTokens) override
@@ -107,10 +107,10 @@
     {
         const TimePoint now = this->clock.now();
         for (auto it = this->waiting.begin(); it != this->waiting.end();) {
-            if (this->tryPlace(it->ask)) {
+            if (this->tryPlace(it->request)) {
                 it = this->waiting.erase(it);
-            } else if (now - it->since > it->ask.maxWait) {
-                const std::uint64_t id = it->ask.id;
+            } else if (now - it->since > it->request.maxWait) {
+                const std::uint64_t id = it->request.id;
                 it = this->waiting.erase(it);
                 this->listener.onPlacement(id, {ResultCode::WaitExpired, "",
                                                 "no engine had room within the maximum wait",
@@ -123,7 +123,7 @@
 
 protected:
     // Returns the engine to use now, or null if the request must wait.
-    virtual EngineState *choose(const GenerationRequest &ask,
+    virtual EngineState *choose(const GenerationRequest &request,
                                 std::span<EngineState *const> usable) = 0;
 
     const Clock &clock;
@@ -131,26 +131,26 @@
 private:
     struct Waiting
     {
-        GenerationRequest ask;
+        GenerationRequest request;
         TimePoint since;
     };
 
-    bool tryPlace(const GenerationRequest &ask)
+    bool tryPlace(const GenerationRequest &request)
     {
         std::vector<EngineState *> usable;
         for (auto &[name, engine] : this->engines) {
-            const bool avoided =
-                    std::find(ask.avoid.begin(), ask.avoid.end(), name) != ask.avoid.end();
-            if (engine.spec.model == ask.model && engine.isUsable() && !avoided)
+            const bool avoided = std::find(request.avoid.begin(), request.avoid.end(), name) !=
+                                 request.avoid.end();
+            if (engine.spec.model == request.model && engine.isUsable() && !avoided)
                 usable.push_back(&engine);
         }
-        EngineState *chosen = usable.empty() ? nullptr : this->choose(ask, usable);
+        EngineState *chosen = usable.empty() ? nullptr : this->choose(request, usable);
         if (chosen == nullptr)
             return false;
         ++chosen->own;
-        chosen->ownTokens += ask.promptTokens;
-        this->placed[ask.id] = {chosen->spec.name, ask.promptTokens, 0};
-        this->listener.onPlacement(ask.id, {ResultCode::Ok, chosen->spec.name, "baseline", {}});
+        chosen->ownTokens += request.promptTokens;
+        this->placed[request.id] = {chosen->spec.name, request.promptTokens, 0};
+        this->listener.onPlacement(request.id, {ResultCode::Ok, chosen->spec.name, "baseline", {}});
         return true;
     }
 
@@ -244,7 +244,8 @@
     }
 
 protected:
-    EngineState *choose(const GenerationRequest &ask, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &request,
+                        std::span<EngineState *const> usable) override
     {
         const std::size_t start = this->random() % usable.size();
         EngineState *best = nullptr;
@@ -254,7 +255,7 @@
                                          static_cast<double>(engine->ownTokens));
             const double limit =
                     staticThresholdShare * static_cast<double>(engine->spec.memoryTokens);
-            if (used + ask.promptTokens + staticReserveTokens > limit)
+            if (used + request.promptTokens + staticReserveTokens > limit)
                 continue;
             if (best == nullptr || engine->own < best->own)
                 best = engine;
@@ -349,11 +350,12 @@
     }
 
 protected:
-    EngineState *choose(const GenerationRequest &ask, std::span<EngineState *const> usable) override
+    EngineState *choose(const GenerationRequest &request,
+                        std::span<EngineState *const> usable) override
     {
         EngineState *best = nullptr;
         double bestLoad = std::numeric_limits<double>::max();
-        const OracleBoard::Job job{ask.id, ask.promptTokens, ask.trueLength};
+        const OracleBoard::Job job{request.id, request.promptTokens, request.trueLength};
         for (EngineState *engine : usable) {
             std::vector<OracleBoard::Job> jobs = this->board->jobs[engine->spec.name];
             const std::size_t running = jobs.size();
@@ -371,7 +373,7 @@
         if (best == nullptr)
             return nullptr;
         this->board->jobs[best->spec.name].push_back(job);
-        this->locations[ask.id] = {best->spec.name, ask.promptTokens, ask.trueLength};
+        this->locations[request.id] = {best->spec.name, request.promptTokens, request.trueLength};
         return best;
     }
 
--- a/lib/Policy/fleetmessages.cpp
+++ b/lib/Policy/fleetmessages.cpp
@@ -70,8 +70,9 @@
         this->sendOrDefer(view->second.homeName, body);
 }
 
-// Sends messages that a request waits for at once, together with the deferred messages for the same
-// instance. Other messages are deferred, because a datagram costs more than its content.
+// Sends a message immediately if a request is waiting for it, together with the deferred messages
+// for the same instance. Other messages are deferred, because a datagram costs more than its
+// content.
 void FleetPolicy::sendOrDefer(const std::string &instance, const wire::GrantBody &body)
 {
     wire::PolicyMessage &message = (*this->deferred)[instance];
--- a/lib/Policy/fleetpolicy.cpp
+++ b/lib/Policy/fleetpolicy.cpp
@@ -213,8 +213,8 @@
     EngineView *best = *std::max_element(
             usableViews.begin(), usableViews.end(),
             [&rankOf](const EngineView *a, const EngineView *b) { return rankOf(a) < rankOf(b); });
-    const bool roomy = best->room - best->requestedSince > minAffinityRoom && best->queued == 0;
-    return roomy ? best : nullptr;
+    const bool hasRoom = best->room - best->requestedSince > minAffinityRoom && best->queued == 0;
+    return hasRoom ? best : nullptr;
 }
 
 FleetPolicy::EngineView *FleetPolicy::choose(const RequestState &state)
--- a/lib/Proxy/entrynotifications.cpp
+++ b/lib/Proxy/entrynotifications.cpp
@@ -53,13 +53,13 @@
     return service != nullptr && service->engine;
 }
 
-void EntryInstance::Parts::recordCold(std::string_view target, Duration left,
+void EntryInstance::Parts::recordCold(std::string_view target, Duration remaining,
                                       std::string_view source)
 {
-    if (!this->cold.recordCold(target, left))
+    if (!this->cold.recordCold(target, remaining))
         return;
     logEvent(Severity::Info, "target_cold",
-             {{"target", target}, {"for_ms", toMillis(left)}, {"source", source}});
+             {{"target", target}, {"for_ms", toMillis(remaining)}, {"source", source}});
     this->metrics.count("jaytrack_targets_cold_total");
 }
 
@@ -68,9 +68,9 @@
     this->recordCold(entry.id, entry.coldFor, "store");
 }
 
-void EntryInstance::Parts::onColdFromPeer(std::string_view target, Duration left)
+void EntryInstance::Parts::onColdFromPeer(std::string_view target, Duration remaining)
 {
-    this->recordCold(target, left, "peer");
+    this->recordCold(target, remaining, "peer");
 }
 
 // Treats a target of a data centre that is back in use as cold, because it may have become cold
@@ -223,40 +223,40 @@
         this->peers->announceLeaving(target);
 }
 
-void EntryInstance::Parts::announceCold(std::string_view target, Duration left)
+void EntryInstance::Parts::announceCold(std::string_view target, Duration remaining)
 {
     if (this->peers)
-        this->peers->announceCold(target, left);
+        this->peers->announceCold(target, remaining);
 }
 
-void EntryInstance::Parts::broadcastQuarantine(const QuarantineMessage &news)
+void EntryInstance::Parts::broadcastQuarantine(const QuarantineMessage &message)
 {
     if (this->peers)
-        this->peers->broadcastQuarantine(news);
+        this->peers->broadcastQuarantine(message);
 }
 
-void EntryInstance::Parts::sendQuarantineToSample(const QuarantineMessage &news)
+void EntryInstance::Parts::sendQuarantineToSample(const QuarantineMessage &message)
 {
     if (this->peers)
-        this->peers->sendQuarantineToSample(news);
+        this->peers->sendQuarantineToSample(message);
 }
 
-void EntryInstance::Parts::sendLimits(std::string_view instance, const LimitMessage &news)
+void EntryInstance::Parts::sendLimits(std::string_view instance, const LimitMessage &message)
 {
     if (this->peers)
-        this->peers->sendLimits(instance, news);
+        this->peers->sendLimits(instance, message);
 }
 
-void EntryInstance::Parts::broadcastLimits(const LimitMessage &news)
+void EntryInstance::Parts::broadcastLimits(const LimitMessage &message)
 {
     if (this->peers)
-        this->peers->broadcastLimits(news);
+        this->peers->broadcastLimits(message);
 }
 
-void EntryInstance::Parts::sendLimitsToSample(const LimitMessage &news)
+void EntryInstance::Parts::sendLimitsToSample(const LimitMessage &message)
 {
     if (this->peers)
-        this->peers->sendLimitsToSample(news);
+        this->peers->sendLimitsToSample(message);
 }
 
 void EntryInstance::Parts::onRequestBarred(std::string_view digest)
--- a/lib/Proxy/entryparts.h
+++ b/lib/Proxy/entryparts.h
@@ -86,7 +86,7 @@
     const ServiceRule *serviceOf(const TargetEntry &entry) const;
     bool isEngine(const TargetEntry &entry) const;
     void assumeCold(const TargetEntry &entry);
-    void recordCold(std::string_view target, Duration left, std::string_view source);
+    void recordCold(std::string_view target, Duration remaining, std::string_view source);
 
     // PeerLinkListener
 
@@ -99,13 +99,16 @@
     void onFreshnessAnswer(std::string_view peer, std::int64_t requestedAt, Duration age,
                            std::uint64_t era, std::uint64_t revision) override;
     void onLeavingFromPeer(std::string_view target) override;
-    void onColdFromPeer(std::string_view target, Duration left) override;
+    void onColdFromPeer(std::string_view target, Duration remaining) override;
 
-    void onQuarantineNews(const QuarantineMessage &news) override { this->crashes.onMessage(news); }
+    void onQuarantineNews(const QuarantineMessage &message) override
+    {
+        this->crashes.onMessage(message);
+    }
 
-    void onLimitNews(std::string_view peer, const LimitMessage &news) override
+    void onLimitNews(std::string_view peer, const LimitMessage &message) override
     {
-        this->limitGate.onMessage(peer, news);
+        this->limitGate.onMessage(peer, message);
     }
 
     void onPeersChanged(const std::vector<std::string> &names) override;
@@ -119,18 +122,18 @@
     // SelfReportNotices
 
     void announceLeaving(std::string_view target) override;
-    void announceCold(std::string_view target, Duration left) override;
+    void announceCold(std::string_view target, Duration remaining) override;
 
     // QuarantineTransport
 
-    void broadcastQuarantine(const QuarantineMessage &news) override;
-    void sendQuarantineToSample(const QuarantineMessage &news) override;
+    void broadcastQuarantine(const QuarantineMessage &message) override;
+    void sendQuarantineToSample(const QuarantineMessage &message) override;
 
     // LimitTransport
 
-    void sendLimits(std::string_view instance, const LimitMessage &news) override;
-    void broadcastLimits(const LimitMessage &news) override;
-    void sendLimitsToSample(const LimitMessage &news) override;
+    void sendLimits(std::string_view instance, const LimitMessage &message) override;
+    void broadcastLimits(const LimitMessage &message) override;
+    void sendLimitsToSample(const LimitMessage &message) override;
 
     // CrashWatchListener
 
--- a/lib/Proxy/exchange.cpp
+++ b/lib/Proxy/exchange.cpp
@@ -181,9 +181,9 @@
     std::optional<Duration> shortest;
     const double rate = this->coldRequestsPerSecond();
     for (const TargetEntry *entry : this->allowedTargets()) {
-        const Duration left = this->remainingPause(*entry, rate);
-        if (left > Duration(0))
-            shortest = std::min(shortest.value_or(left), left);
+        const Duration remaining = this->remainingPause(*entry, rate);
+        if (remaining > Duration(0))
+            shortest = std::min(shortest.value_or(remaining), remaining);
     }
     return shortest;
 }
@@ -274,10 +274,10 @@
             retryAfterDelay(code, this->admitted.admission.route,
                             this->context.streams.maxRetryDelayFraction, this->context.random);
     // If all targets are paused, no request is served before the first pause ends.
-    const Duration rest = this->usableTargets().empty()
-                                  ? this->shortestPause().value_or(Duration(0))
-                                  : Duration(0);
-    return usual + std::chrono::duration_cast<std::chrono::milliseconds>(rest);
+    const Duration pause = this->usableTargets().empty()
+                                   ? this->shortestPause().value_or(Duration(0))
+                                   : Duration(0);
+    return usual + std::chrono::duration_cast<std::chrono::milliseconds>(pause);
 }
 
 void Exchange::reportLostUnanswered(const TargetEntry &target, TimePoint sentAt) const
--- a/lib/Proxy/peerlink.cpp
+++ b/lib/Proxy/peerlink.cpp
@@ -450,10 +450,10 @@
 
 void PeerLink::broadcast(wire::EntryNotices &message)
 {
-    const NoticeFanout::Recipients ways = this->spread.recipients(this->random);
-    this->membership.sendPolicy(ways.direct, encodeMessage(message));
+    const NoticeFanout::Recipients recipients = this->spread.recipients(this->random);
+    this->membership.sendPolicy(recipients.direct, encodeMessage(message));
     message.relay = true;
-    this->membership.sendPolicy(ways.relays, encodeMessage(message));
+    this->membership.sendPolicy(recipients.relays, encodeMessage(message));
 }
 
 void PeerLink::sendToAssignees(std::string_view engine, wire::EntryNotices &message)
@@ -502,9 +502,9 @@
         this->listener.onLeavingFromPeer(target);
     for (const wire::ColdNotice &notice : message->coldTargets)
         this->listener.onColdFromPeer(notice.target, std::chrono::microseconds(notice.leftMicros));
-    const QuarantineMessage news = fromNotices(message->quarantine);
-    if (!news.isEmpty())
-        this->listener.onQuarantineNews(news);
+    const QuarantineMessage quarantine = fromNotices(message->quarantine);
+    if (!quarantine.isEmpty())
+        this->listener.onQuarantineNews(quarantine);
     const LimitMessage limits = fromNotices(message->limits);
     if (!limits.isEmpty())
         this->listener.onLimitNews(origin, limits);
--- a/lib/Proxy/plainexchange.cpp
+++ b/lib/Proxy/plainexchange.cpp
@@ -208,7 +208,8 @@
         this->forwardFailure();
     }
 
-    // Forwards the target's own failure answer because no other target can run the request.
+    // Forwards the target's own failure answer, because the request is not retried at another
+    // target.
     void forwardFailure() { this->forwardAnswer(this->answer, this->body, this->target.id); }
 
     // A refusal has the outcome "not run", which must be true of every target that was tried.
--- a/lib/Proxy/startupqueue.cpp
+++ b/lib/Proxy/startupqueue.cpp
@@ -26,12 +26,13 @@
 // Returns how long a request that arrives now may wait.
 Duration StartupQueue::maxWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const
 {
-    const Duration left = this->startedAt + this->options.maxWaitAfterStart - this->clock.now();
+    const Duration remaining =
+            this->startedAt + this->options.maxWaitAfterStart - this->clock.now();
     if (!callerTimeLimit)
-        return left;
+        return remaining;
     const std::chrono::duration<double, std::milli> part =
             *callerTimeLimit * this->options.maxTimeFraction;
-    return std::min(left, std::chrono::duration_cast<Duration>(part));
+    return std::min(remaining, std::chrono::duration_cast<Duration>(part));
 }
 
 bool StartupQueue::canWait(std::optional<std::chrono::milliseconds> callerTimeLimit) const
--- a/lib/Proxy/streamhandover.cpp
+++ b/lib/Proxy/streamhandover.cpp
@@ -114,7 +114,8 @@
         exchange->moveEnded(*this, end);
 }
 
-// Releases the memory reserved for the previous copy when the plan's copy holder has changed.
+// Takes over the plan's copy holder. If it has changed, releases the memory reserved at the
+// previous holder, unless the run itself now runs there.
 void StreamExchange::updateCopyReservation()
 {
     const std::string_view holder = this->plan.copyHolder();
@@ -280,15 +281,15 @@
 void StreamExchange::requestCopyPermits(const TargetEntry &source, const TargetEntry &destination)
 {
     this->copyPermitsPending = true;
-    this->ifPermitted(destination.id, [this, source, destination](bool takesTheRun) {
-        if (!takesTheRun) {
+    this->ifPermitted(destination.id, [this, source, destination](bool destinationPermitted) {
+        if (!destinationPermitted) {
             this->copyPermitsPending = false;
             return;
         }
-        this->ifPermitted(source.id, [this, source, destination](bool takesTheOrder) {
+        this->ifPermitted(source.id, [this, source, destination](bool sourcePermitted) {
             this->copyPermitsPending = false;
             const bool stillThere = this->current && this->current->target.id == source.id;
-            if (takesTheOrder && stillThere && !this->move && this->isAllowed(destination))
+            if (sourcePermitted && stillThere && !this->move && this->isAllowed(destination))
                 this->startCopy(destination);
         });
     });
--- a/lib/Serve/generationcall.cpp
+++ b/lib/Serve/generationcall.cpp
@@ -172,10 +172,10 @@
                 std::find(avoid.begin(), avoid.end(), candidate.name) == avoid.end();
         if (!isCandidate)
             continue;
-        const Duration rest = this->context.limits.remainingBackoff(candidate.name);
-        if (rest == Duration(0))
+        const Duration backoff = this->context.limits.remainingBackoff(candidate.name);
+        if (backoff == Duration(0))
             return false;
-        shortest = std::min(shortest.value_or(rest), rest);
+        shortest = std::min(shortest.value_or(backoff), backoff);
     }
     if (!shortest)
         return false;
--- a/lib/Serve/peernode.cpp
+++ b/lib/Serve/peernode.cpp
@@ -297,7 +297,7 @@
     return this->membership->counts();
 }
 
-// ---- Called by membership and spread with the lock held ----
+// ---- Called by Membership and ConfigPropagation with the lock held ----
 
 void PeerNode::send(std::string_view address, std::string datagram)
 {
--- a/lib/Serve/servicehandler.cpp
+++ b/lib/Serve/servicehandler.cpp
@@ -329,9 +329,9 @@
 {
     Duration shortest{0};
     for (const ServiceTarget &target : call.service->targets) {
-        const Duration left = this->unavailableFor(target);
-        if (left > Duration(0) && (shortest == Duration(0) || left < shortest))
-            shortest = left;
+        const Duration remaining = this->unavailableFor(target);
+        if (remaining > Duration(0) && (shortest == Duration(0) || remaining < shortest))
+            shortest = remaining;
     }
     return shortest;
 }
@@ -353,10 +353,10 @@
     }
     const ServiceTarget *target = this->chooseTarget(*call);
     if (target == nullptr) {
-        const auto rest = std::chrono::duration_cast<std::chrono::milliseconds>(
+        const auto wait = std::chrono::duration_cast<std::chrono::milliseconds>(
                 this->shortestUnavailability(*call));
         this->refuse(call, {ResultCode::Overloaded, "no target of the service is available",
-                            std::max(rest, retryDelay)});
+                            std::max(wait, retryDelay)});
         return;
     }
     const auto later = [this, call, target](const Permit &permit) {
@@ -419,9 +419,9 @@
     call->sends += answer.end.maySentBytes ? 1 : 0;
     this->recordAttempt(*call, target, answer);
     this->updateLimit(*call, target, answer);
-    const auto rest = parseRetryAfter(findHeader(answer.headers, "Retry-After"));
-    if (answer.end.whole && answer.end.status == unavailableStatus && rest)
-        this->pauses.pause(target.name, *rest);
+    const auto retryAfter = parseRetryAfter(findHeader(answer.headers, "Retry-After"));
+    if (answer.end.whole && answer.end.status == unavailableStatus && retryAfter)
+        this->pauses.pause(target.name, *retryAfter);
     if (answer.end.whole) {
         const StoredAnswer kept{ResultCode::Ok, answer.end.status,
                                 std::string(findHeader(answer.headers, "Content-Type")),
--- a/lib/Stream/sse.cpp
+++ b/lib/Stream/sse.cpp
@@ -39,8 +39,8 @@
     return 0;
 }
 
-// Parses one event. The format requires data over several lines to be joined with line feeds, which
-// is done in the buffer joined.
+// Parses one event. Data over several lines is joined with line feeds, as the format requires; the
+// result is stored in the buffer `joined`, to which the event refers.
 SseEvent parseEvent(std::string_view block, std::string &joined)
 {
     SseEvent event;
--- a/unittests/Cluster/configpropagationtest.cpp
+++ b/unittests/Cluster/configpropagationtest.cpp
@@ -31,26 +31,26 @@
 Test(configpropagation, newInstanceComparesWithPeersFirst)
 {
     Fixture fixture;
-    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation propagation(fixture.clock, 1, fixture, fixture);
     fixture.currentRevision = 3;
-    spread.onService(3, fixture.clock.now());
-    cr_assert(!spread.mayServe());
-    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
+    propagation.onService(3, fixture.clock.now());
+    cr_assert(!propagation.mayServe());
+    propagation.onPeer("p", 5, Duration(0), fixture.clock.now());
     cr_assert(fixture.fetched.size() == 1);
-    spread.onFetched("p", 5, "bytes");
+    propagation.onFetched("p", 5, "bytes");
     cr_assert(fixture.currentRevision == 5);
-    spread.onPeer("p", 5, Duration(0), fixture.clock.now());
-    cr_assert(spread.mayServe());
+    propagation.onPeer("p", 5, Duration(0), fixture.clock.now());
+    cr_assert(propagation.mayServe());
 }
 
 Test(configpropagation, servesWithoutPeersAfterADelay)
 {
     Fixture fixture;
-    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
-    cr_assert(!spread.mayServe());
+    ConfigPropagation propagation(fixture.clock, 1, fixture, fixture);
+    cr_assert(!propagation.mayServe());
     fixture.currentRevision = 3;
     fixture.clock.advance(std::chrono::seconds(2));
-    cr_assert(spread.mayServe());
+    cr_assert(propagation.mayServe());
 }
 
 // Guards against waiting for one peer without a time-out: the instance would never receive a
@@ -58,12 +58,12 @@
 Test(configpropagation, fetchesFromAnotherPeerAfterATimeout)
 {
     Fixture fixture;
-    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
-    spread.onPeer("dead", 5, Duration(0), fixture.clock.now());
-    spread.onPeer("alive", 5, Duration(0), fixture.clock.now());
+    ConfigPropagation propagation(fixture.clock, 1, fixture, fixture);
+    propagation.onPeer("dead", 5, Duration(0), fixture.clock.now());
+    propagation.onPeer("alive", 5, Duration(0), fixture.clock.now());
     cr_assert(fixture.fetched.size() == 1);
     fixture.clock.advance(std::chrono::seconds(3));
-    spread.tick();
+    propagation.tick();
     cr_assert(fixture.fetched.size() == 2);
     cr_assert(fixture.fetched[0] != fixture.fetched[1]);
 }
@@ -73,16 +73,16 @@
 Test(configpropagation, onlyAnswersConfirmARevision)
 {
     Fixture fixture;
-    ConfigPropagation spread(fixture.clock, 1, fixture, fixture);
+    ConfigPropagation propagation(fixture.clock, 1, fixture, fixture);
     fixture.currentRevision = 5;
     fixture.clock.advance(std::chrono::seconds(60));
-    spread.onService(4, fixture.clock.now());
-    spread.onPeer("p", 5, Duration(0), std::nullopt);
-    cr_assert(spread.mayBeStale());
-    spread.onPeer("p", 5, std::chrono::seconds(30), fixture.clock.now());
-    cr_assert(spread.mayBeStale(), "the peer has not confirmed the revision for 30 s");
-    spread.onPeer("p", 5, std::chrono::seconds(1), fixture.clock.now());
-    cr_assert(!spread.mayBeStale());
+    propagation.onService(4, fixture.clock.now());
+    propagation.onPeer("p", 5, Duration(0), std::nullopt);
+    cr_assert(propagation.mayBeStale());
+    propagation.onPeer("p", 5, std::chrono::seconds(30), fixture.clock.now());
+    cr_assert(propagation.mayBeStale(), "the peer has not confirmed the revision for 30 s");
+    propagation.onPeer("p", 5, std::chrono::seconds(1), fixture.clock.now());
+    cr_assert(!propagation.mayBeStale());
     fixture.clock.advance(std::chrono::seconds(30));
-    cr_assert(spread.mayBeStale());
+    cr_assert(propagation.mayBeStale());
 }
--- a/unittests/Cluster/membershiptest.cpp
+++ b/unittests/Cluster/membershiptest.cpp
@@ -128,10 +128,10 @@
     fixture.add("a", "a:1");
     fixture.add("b", "b:1");
     fixture.run(std::chrono::seconds(5));
-    const KeyRing strange({"another fleet's key"});
-    MembershipFixture::Peer stranger(fixture, "b", "x:1", 99, strange);
-    stranger.membership.suggest(std::vector<std::string>{"a:1"});
-    stranger.membership.tick();
+    const KeyRing foreignKeys({"another fleet's key"});
+    MembershipFixture::Peer outsider(fixture, "b", "x:1", 99, foreignKeys);
+    outsider.membership.suggest(std::vector<std::string>{"a:1"});
+    outsider.membership.tick();
     fixture.deliver();
     cr_assert(fixture.peers[0]->membership.counts().rejected > 0);
     cr_assert(fixture.peers[0]->membership.find("b")->peerAddress == "b:1");
@@ -146,17 +146,17 @@
 {
     ManualClock clock;
     clock.advance(std::chrono::hours(1));
-    PauseDetector wakefulness(clock, std::chrono::seconds(2));
+    PauseDetector detector(clock, std::chrono::seconds(2));
     clock.advance(std::chrono::seconds(1));
-    cr_assert(wakefulness.mayAct());
+    cr_assert(detector.mayAct());
     const TimePoint beforePause = clock.now();
     clock.advance(std::chrono::seconds(3));
-    cr_assert(!wakefulness.mayAct());
-    wakefulness.tick();
-    cr_assert(!wakefulness.mayAct());
-    wakefulness.refreshed(beforePause);
-    cr_assert(!wakefulness.mayAct(), "an answer to a request from before the pause is not fresh");
-    wakefulness.refreshed(clock.now());
-    cr_assert(wakefulness.mayAct());
-    cr_assert(wakefulness.detectedPauses() == 1);
+    cr_assert(!detector.mayAct());
+    detector.tick();
+    cr_assert(!detector.mayAct());
+    detector.refreshed(beforePause);
+    cr_assert(!detector.mayAct(), "an answer to a request from before the pause is not fresh");
+    detector.refreshed(clock.now());
+    cr_assert(detector.mayAct());
+    cr_assert(detector.detectedPauses() == 1);
 }
--- a/unittests/Cluster/noticefanouttest.cpp
+++ b/unittests/Cluster/noticefanouttest.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-struct SpreadCase
+struct FanoutCase
 {
     int dataCentres;
     int instancesInEach;
     std::size_t maxBetweenDataCentres; // copies of one notice
 };
 
-std::vector<Member> fleetOf(const SpreadCase &size)
+std::vector<Member> fleetOf(const FanoutCase &size)
 {
     std::vector<Member> fleet;
     for (int centre = 0; centre < size.dataCentres; ++centre) {
@@ -47,27 +47,27 @@
 
 } // namespace
 
-ParameterizedTestParameters(noticeSpread, reachesAllWithFewDistantCopies)
+ParameterizedTestParameters(noticeFanout, reachesAllWithFewDistantCopies)
 {
-    static SpreadCase cases[] = {{3, 3, 6}, {4, 18, 3}, {6, 32, 5}, {7, 48, 6}};
-    return cr_make_param_array(SpreadCase, cases, std::size(cases));
+    static FanoutCase cases[] = {{3, 3, 6}, {4, 18, 3}, {6, 32, 5}, {7, 48, 6}};
+    return cr_make_param_array(FanoutCase, cases, std::size(cases));
 }
 
 // Guards against sending one copy to each instance of a distant data centre. With 195 instances
 // that notify each other of fifty placements per second, the traffic between data centres would
 // grow with the square of the fleet size.
-ParameterizedTest(SpreadCase *size, noticeSpread, reachesAllWithFewDistantCopies)
+ParameterizedTest(FanoutCase *size, noticeFanout, reachesAllWithFewDistantCopies)
 {
     const std::vector<Member> fleet = fleetOf(*size);
     std::mt19937_64 random(1);
     NoticeFanout sender("dc0");
     sender.setPeers(fleetWithout(fleet, "i0-0"));
-    const NoticeFanout::Recipients ways = sender.recipients(random);
-    std::multiset<std::string> received(ways.direct.begin(), ways.direct.end());
+    const NoticeFanout::Recipients recipients = sender.recipients(random);
+    std::multiset<std::string> received(recipients.direct.begin(), recipients.direct.end());
     std::size_t distant = 0;
-    for (const std::string &name : ways.direct)
+    for (const std::string &name : recipients.direct)
         distant += dataCentreOf(name) != "dc0" ? 1 : 0;
-    for (const std::string &name : ways.relays) {
+    for (const std::string &name : recipients.relays) {
         ++distant;
         received.insert(name);
         NoticeFanout relay(dataCentreOf(name));
@@ -91,9 +91,9 @@
     sender.setPeers(fleetWithout(fleet, "i0-0"));
     std::set<std::string> relays;
     for (int i = 0; i < 200; ++i) {
-        const NoticeFanout::Recipients ways = sender.recipients(random);
-        cr_assert(ways.relays.size() == 1);
-        relays.insert(ways.relays.front());
+        const NoticeFanout::Recipients recipients = sender.recipients(random);
+        cr_assert(recipients.relays.size() == 1);
+        relays.insert(recipients.relays.front());
     }
     cr_assert(relays.size() > 24, "%zu different relays", relays.size());
 }
--- a/unittests/Routing/runplantest.cpp
+++ b/unittests/Routing/runplantest.cpp
@@ -38,7 +38,7 @@
 }
 
 // Guards against running a generation twice. An engine leaves before the first event of a run; it
-// may have started the run, which nobody can tell before that event, and the run must not be sent
+// may have started the run, which is unknown before that event, so the run must not be sent
 // elsewhere.
 Test(runPlan, runIsNotMovedBeforeFirstEvent)
 {
