--- a/unittests/Quarantine/crashquarantinetest.cpp
+++ b/unittests/Quarantine/crashquarantinetest.cpp
@@ -233,7 +233,7 @@
 struct FleetCase
 {
     std::size_t instances;
-    double lost; // fraction of the reports
+    double lossRate; // fraction of the reports that are lost
 };
 
 struct DelayedEnd
@@ -263,7 +263,7 @@
         fleet.emplace_back(clock);
     std::vector<std::vector<DelayedEnd>> inTransit(param->instances);
     const auto arrives = [&] {
-        return std::uniform_real_distribution<double>(0, 1)(random) >= param->lost;
+        return std::uniform_real_distribution<double>(0, 1)(random) >= param->lossRate;
     };
     std::size_t sends = 0;
     std::size_t lateSends = 0;
--- a/unittests/Serve/streamtest.cpp
+++ b/unittests/Serve/streamtest.cpp
@@ -214,8 +214,8 @@
             [&] { return site.request("POST", chat, Site::prompt(2, false)).end.status == 503; }));
 }
 
-// Guards against cutting a stream when the instance is told to shut down gracefully while it serves
-// it. This happens if the process ends before its requests do.
+// Guards against cutting a stream when the instance begins a graceful shutdown while it serves the
+// stream. This happens if the process ends before its requests do.
 Test(stream, gracefulShutdownCompletesStreams)
 {
     Site site;
